--- a/src/main/java/larkworks/proxy/Absences.java
+++ b/src/main/java/larkworks/proxy/Absences.java
@@ -10,8 +10,9 @@
 import java.util.Set;
 
 /**
- * The backends called out, kept in a folder that outlives the process: an empty file for each, its name the
- * backend's id, encoded. Two live processes share the folder, and neither overwrites the other's calls.
+ * Stores the backends in maintenance in a folder that outlives the process, as one empty file per backend,
+ * named after the backend's Base64-encoded id. Two live processes share the folder; with a file per backend
+ * neither overwrites what the other stored.
  */
 final class Absences {
 
@@ -31,7 +32,7 @@
         return folder.resolve(PREFIX + encoded(backend));
     }
 
-    /** Writes down that the backend is out; once this returns, every process that looks sees it. */
+    /** Stores that the backend is in maintenance; visible to other processes once this returns. */
     void add(String backend) throws IOException {
         Path file = file(backend);
         if (!Files.exists(file)) {
@@ -43,7 +44,7 @@
         Files.deleteIfExists(file(backend));
     }
 
-    /** All that are out by now. */
+    /** Returns the ids of all backends in maintenance. */
     Set<String> read() throws IOException {
         Set<String> backends = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
@@ -52,7 +53,8 @@
                 backends.add(new String(Base64.getUrlDecoder().decode(name), StandardCharsets.UTF_8));
             }
         } catch (IllegalArgumentException e) {
-            throw new IOException("a file in " + folder + " names no backend", e);
+            throw new IOException("a file in " + folder + " has a name that is not '" + PREFIX
+                    + "' and a Base64-encoded backend id", e);
         }
         return backends;
     }
--- a/src/main/java/larkworks/proxy/Admin.java
+++ b/src/main/java/larkworks/proxy/Admin.java
@@ -35,28 +35,29 @@
 import larkworks.transport.TcpListener;
 
 /**
- * The operators' address: one call to a connection. It has descriptors of its own, so that clients can't
- * crowd it out; callers who send nothing, or half a call, hold one only until others need it.
+ * The HTTP server at the admin address, with one request per connection. Its descriptors are reserved, so
+ * that client connections can't exhaust them; connections that send no request or a part of one are closed
+ * when others need their descriptors.
  */
 final class Admin {
 
     private static final String METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
-    /** Connections at a time; past that the longest silent goes. */
+    /** Maximum connections at a time; beyond it the one is closed that has sent nothing for longest. */
     static final int MOST_CONNECTIONS = 16;
     private static final int MOST_BODY = 4096;
-    /** Who has not sent a whole call by then is cut off. */
+    /** Connections are closed after this time, even if no complete request has arrived. */
     private static final long PATIENCE_MS = 2_500;
-    /** Time to take an answer before the connection closes for good. */
+    /** Time for the operator to read an answer before the connection is closed. */
     private static final long LINGER_MS = 500;
 
     private final EventLoop loop;
     private final BooleanSupplier ready;
     private final Maintenance maintenance;
-    /** What else is shown, as JSON, by path. */
+    /** Suppliers of JSON tables, by the path that they are served at. */
     private final Map<String, Supplier<String>> tables;
-    /** Null where no metrics are kept. */
+    /** Null if metrics are off. */
     private final Meters meters;
-    /** Connections, the longest silent first. */
+    /** Open connections, the one that has sent nothing for longest first. */
     private final Set<Channel> open = new LinkedHashSet<>();
     private final LingeringClose lingering;
 
@@ -73,7 +74,7 @@
     ChannelFuture listen(SocketAddress address) {
         return new ServerBootstrap().group(loop).channel(TcpListener.class)
                 .option(ChannelOption.SO_BACKLOG, 256)
-                // Few at a time, so that each is read before as many new ones push it out.
+                // Accepts few connections per loop iteration, so that each is read before new ones evict it.
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(1)
                         .maxMessagesPerRead(MOST_CONNECTIONS / 4))
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -153,7 +154,10 @@
         return response;
     }
 
-    /** Turns away a body that is too large; the rest of it is read, so that the answer arrives. */
+    /**
+     * Collects a request's body and refuses one that is too large; the rest of it is read, as the client
+     * might lose the answer otherwise.
+     */
     private final class Aggregator extends HttpObjectAggregator {
 
         Aggregator() {
@@ -167,14 +171,14 @@
         }
     }
 
-    /** One connection's call. */
+    /** Answers the request of one connection. */
     private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private boolean answered;
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-            // A new place in the order of silence, which is that of insertion.
+            // Moves the connection to the end of the set, which keeps the order of insertion.
             if (open.remove(context.channel())) {
                 open.add(context.channel());
             }
@@ -198,7 +202,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A reset or bytes that are no call; who sent them has no more to expect.
+            // A reset, or bytes that are not HTTP: no answer is possible.
             context.close();
         }
     }
--- a/src/main/java/larkworks/proxy/Adoption.java
+++ b/src/main/java/larkworks/proxy/Adoption.java
@@ -40,8 +40,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A proxy's part in a staged rollout: it says now and then which version it runs and how that goes, and
- * takes up the version it is told to run. While the list service can't be reached, it runs on what it has.
+ * The proxy's client of staged rollouts: reports at a fixed interval which configuration version it runs and
+ * how requests fare with it, and applies the version that the answer names. While the list service can't be
+ * reached, the proxy keeps its present version.
  */
 final class Adoption {
 
@@ -49,10 +50,10 @@
     private static final ObjectMapper JSON = JsonMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE).build();
     private static final int MOST_ANSWER = 128 << 10;
-    /** An answer later than this is not waited for. */
+    /** Timeout of connecting, and of the wait for an answer. */
     private static final long PATIENCE_MS = 2_000;
 
-    /** Makes a configuration's settings of its file and a patch to it. */
+    /** Reads the settings from the configuration file with a merge patch applied to it. */
     interface Reader {
         Settings settings(JsonNode patch) throws Unusable;
     }
@@ -65,7 +66,7 @@
     private final Reader reader;
     private final Settings first;
     private int at;
-    /** The version that is run; 0 for the file alone. */
+    /** The version that this proxy runs; 0 for the configuration file without a patch. */
     private long version;
     private long refused;
     private String why = "";
@@ -82,7 +83,7 @@
         this.first = config.settings();
     }
 
-    /** Begins to report; on the loop. */
+    /** Starts reporting; to be called on the loop. */
     void start() {
         next = loop.schedule(this::report, everyMs, TimeUnit.MILLISECONDS);
     }
@@ -134,20 +135,22 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             context.close();
             if (response.status().code() != 200 || closed) {
-                LOG.atWarn().addKeyValue("status", response.status().code()).log("a report was not taken");
+                LOG.atWarn().addKeyValue("status", response.status().code())
+                        .log("the list service did not accept a rollout report");
                 return;
             }
             try {
                 told(JSON.readValue(ByteBufUtil.getBytes(response.content()), Rollouts.Target.class));
             } catch (IOException e) {
-                LOG.atWarn().addKeyValue("why", e.getMessage()).log("an answer that can't be read");
+                LOG.atWarn().addKeyValue("why", e.getMessage())
+                        .log("the answer to a rollout report can't be parsed");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // Silence, a reset: the next report asks the next address.
-            LOG.atDebug().addKeyValue("why", cause.toString()).log("no answer to a report");
+            // For example a timeout or a reset: the next report goes to the next address.
+            LOG.atDebug().addKeyValue("why", cause.toString()).log("no answer to a rollout report");
             at = (at + 1) % addresses.size();
             context.close();
         }
@@ -168,10 +171,11 @@
             refused = 0;
             why = "";
         } catch (Unusable | RuntimeException e) {
-            // Whatever is wrong with it, the version is not run, and the list service is told why.
+            // Whatever the fault, the version is not applied, and the next report gives the reason.
             refused = target.version();
             why = String.valueOf(e.getMessage());
-            LOG.atError().addKeyValue("version", refused).addKeyValue("why", why).log("can't be adopted");
+            LOG.atError().addKeyValue("version", refused).addKeyValue("why", why)
+                    .log("configuration version can't be applied; keeping the present one");
         }
     }
 
--- a/src/main/java/larkworks/proxy/Clock.java
+++ b/src/main/java/larkworks/proxy/Clock.java
@@ -2,7 +2,10 @@
 
 import larkworks.platform.SteadyClock;
 
-/** The proxy's time in microseconds, which never steps; see {@link SteadyClock}. */
+/**
+ * The proxy's clock, in microseconds. Changes of the system's time don't make it jump, see {@link
+ * SteadyClock}.
+ */
 final class Clock {
 
     long nowUs() {
--- a/src/main/java/larkworks/proxy/Config.java
+++ b/src/main/java/larkworks/proxy/Config.java
@@ -24,27 +24,27 @@
 import larkworks.shared.SharedSettings;
 
 /**
- * What a proxy is told at its start.
+ * The configuration of a proxy.
  *
- * @param name its name, the same after a restart; "" where none is told
- * @param listen where clients connect
- * @param discovery where the list of backends is to be had: one address or more, tried in turn
- * @param seed for the module's random numbers
- * @param sockets descriptors that the process may hold
- * @param settings the module's settings
- * @param zones names of the zones, by position
- * @param connectTimeoutUs a connection not up by then counts as failed
- * @param keepAliveUs backends close a connection that was idle for so long
- * @param loadReports whether backends tell their load when probed
- * @param known the list of backends as last held, perhaps old; null where there is none
- * @param admin where the operators' calls come; null where there is no such address
- * @param state the folder that outlives this process; null where none is named
- * @param fleet the other proxies of the tier; null where membership is off
- * @param shared what is shared with them; null where nothing is
- * @param rolloutReportMs how often the list service is told how the version run does, and asked which to run;
- *     0 where this proxy takes no part in rollouts
- * @param logs what is logged
- * @param metrics whether metrics are kept and told at the operators' address
+ * @param name the proxy's name, the same after a restart; "" if it has none
+ * @param listen address that clients connect to
+ * @param discovery addresses of the discovery service, at least one; another is tried when a call fails
+ * @param seed seed of the decision module's random numbers
+ * @param sockets maximum file descriptors of the process
+ * @param settings settings of the decision module
+ * @param zones names of the zones; a zone's position is its number
+ * @param connectTimeoutUs timeout of a connection attempt to a backend
+ * @param keepAliveUs idle time after which backends close a connection
+ * @param loadReports whether backends report their load when probed
+ * @param known a list of backends from before the start, perhaps old; null if there is none
+ * @param admin address of the admin server; null if there is none
+ * @param state folder for state that outlives the process; null if none is given
+ * @param fleet the other proxies of the tier; null if membership is off
+ * @param shared settings of the state shared with them; null if none is shared
+ * @param rolloutReportMs interval of the reports to the list service on the running configuration version,
+ *     answered with the version to run; 0 if this proxy does not take part in rollouts
+ * @param logs settings of the log
+ * @param metrics whether metrics are collected and served at the admin address
  */
 public record Config(String name, InetSocketAddress listen, List<InetSocketAddress> discovery, long seed,
         int sockets, Settings settings, List<String> zones, long connectTimeoutUs, long keepAliveUs,
@@ -52,24 +52,24 @@
         SharedSettings shared, long rolloutReportMs, LogSettings logs, boolean metrics) {
 
     /**
-     * Reads a file, in TOML or as the platform writes it. What the command line says goes before
-     * {@code GW_ADMIN_ADDR}, which is told to one process alone, and that before the file; {@code GW_NAME},
-     * {@code GW_LISTEN} and {@code GW_DISCOVERY} fill in only what the file leaves out, as the file may be
-     * replaced while the process runs.
+     * Reads a configuration file, in TOML or in the platform's JSON. Command-line flags override
+     * {@code GW_ADMIN_ADDR}, which is set for a single process, and that overrides the file. {@code GW_NAME},
+     * {@code GW_LISTEN} and {@code GW_DISCOVERY} apply only to keys that the file lacks: the file may be
+     * replaced while the process runs, the environment may not.
      *
-     * @param flags values by key, which stand before the file's
-     * @throws Unusable naming everything that is wrong
+     * @param flags values by key that override those of the file
+     * @throws Unusable if the configuration is invalid; lists all faults
      */
     public static Config read(String file, Map<String, String> environment, Map<String, String> flags)
             throws Unusable {
         return read(file, environment, flags, null);
     }
 
-    /** Reads a file with a rollout's merge patch applied to it; null for none. */
+    /** Reads a configuration file and applies a rollout's JSON merge patch to it; null for no patch. */
     static Config read(String file, Map<String, String> environment, Map<String, String> flags,
             JsonNode patch) throws Unusable {
         if (file == null || file.isBlank()) {
-            throw new Unusable("GW_CONFIG", List.of("names no file"));
+            throw new Unusable("GW_CONFIG", List.of("the name of a configuration file is wanted"));
         }
         Map<Object, Object> values = new LinkedHashMap<>(ConfigFile.read(Path.of(file)));
         if (patch != null) {
@@ -102,7 +102,8 @@
         InetSocketAddress listen = top.address("listen");
         InetSocketAddress admin = top.optionalAddress("admin_addr");
         if (admin != null && admin.equals(listen) && admin.getPort() != 0) {
-            top.fault("admin_addr", "is the address of listen");
+            top.fault("admin_addr", "an address other than that of listen is wanted, not '"
+                    + Addresses.text(admin) + "'");
         }
         Section limits = top.section("limits");
         limits.allow("cores", "memory_mb");
@@ -122,7 +123,7 @@
                 fleet, shared(top, fleet, settings), rollout(top),
                 LogSettings.of(top.optionalSection("logs")), metrics.flag("enabled", false));
         if (config.metrics && admin == null) {
-            top.fault("metrics.enabled", "admin_addr is wanted, where metrics are told");
+            top.fault("metrics.enabled", "admin_addr is wanted too, as metrics are served at that address");
         }
         return config;
     }
@@ -133,7 +134,8 @@
         }
         String name = top.text("name", "");
         if (!name.matches("[A-Za-z0-9._-]{1,128}")) {
-            top.fault("name", "letters, digits, '.', '_' and '-' are wanted, as rollouts know proxies by it");
+            top.fault("name", "1 to 128 letters, digits, '.', '_' and '-' are wanted, as rollouts identify"
+                    + " proxies by name, not '" + name + "'");
         }
         return top.section("rollout").whole("report_ms", 1_000L, 50, 60_000);
     }
@@ -143,7 +145,8 @@
             return null;
         }
         if (fleet == null) {
-            top.fault("shared", "a membership table is wanted, and settings that allow peers");
+            top.fault("shared", "a membership table is wanted too, and settings.limits.peers must not be"
+                    + " false");
             return null;
         }
         return SharedSettings.of(top.section("shared"), fleet.settings().probeIntervalUs() / 1000,
@@ -160,7 +163,7 @@
         }
     }
 
-    /** Null where they can't be read, or make no sense: the first reason is a fault. */
+    /** Returns the decision module's settings, or null after noting the first fault found in them. */
     private static Settings settings(Section top, Map<String, Object> params) {
         try {
             Settings settings = SettingsReader.read(params);
@@ -184,12 +187,14 @@
         }
     }
 
-    /** Reads {@code host:port}; see {@link Addresses#parse}. */
+    /** Parses {@code IP:PORT}, see {@link Addresses#parse}. */
     static InetSocketAddress address(Object value) {
         return Addresses.parse(value);
     }
 
-    /** What of a configuration a running proxy takes up at SIGHUP, and what it would need a restart for. */
+    /**
+     * Returns the keys whose values differ in {@code next} and that a running proxy can't apply at SIGHUP.
+     */
     List<String> restartNeeded(Config next) {
         List<String> keys = new ArrayList<>();
         if (!listen.equals(next.listen) && listen.getPort() != 0) {
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -36,37 +36,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the list of backends up to date. Where lists are pushed it watches from the start; where discovery
- * must be asked, the module says when, and each watch goes on until it fails.
+ * Keeps the list of backends up to date by long polls ("watches") of the discovery service. With discovery
+ * {@code pushed} it watches from the start. With discovery {@code on_request} the decision module says when
+ * to begin a watch, which then goes on until a call fails.
  */
 final class Discovery {
 
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
     private static final String PATH = "/registry/instances";
-    /** Our own list service tells by it which data it holds; see {@code larkworks.registry}. */
+    /** Header by which {@code larkworks.registry} names the epoch of its data; versions compare within it. */
     private static final String EPOCH = "X-Registry-Epoch";
-    /** A replica of it tells by it that it has not heard of a leader for long. */
+    /** Header of a registry replica that has had no contact with a leader for too long. */
     private static final String STALE = "X-Registry-Stale";
     /**
-     * Pause after an answer that came at once and told nothing, lest the two of us do nothing else; far below
-     * the 200 ms after which a watch is broken off.
+     * Pause after an empty answer that arrived at once, so that proxy and discovery don't poll in a busy
+     * loop. Far below 200 ms, after which a watch counts as interrupted.
      */
     private static final long IDLE_PAUSE_MS = 20;
     private static final long FIRST_PAUSE_MS = 50;
-    /** A connection that this machine could not make is tried again after this pause, so many times. */
+    /** Pause before a connection is retried that failed for lack of a descriptor, port or buffer here. */
     private static final long LOCAL_PAUSE_MS = 10;
     private static final int MOST_LOCAL_FAILURES = 10;
-    /** Those who lose one of several services at the same moment come to the others spread over so long. */
+    /** Proxies that lose the same discovery address at once spread their fail-over over this time. */
     private static final long FAIL_OVER_MS = 200;
-    /** The most, and with its jitter of a quarter no more than half of a drain's grace. */
+    /** Maximum pause between retries; the constructor lowers it where the drain grace is short. */
     private static final long MOST_PAUSE_MS = 1_000;
-    /** Where discovery must be asked, the module's pause after a failure is cut short by then; see above. */
+    /**
+     * With discovery {@code on_request}, a failed call is retried after this time plus a random part of the
+     * jitter, unless the decision module asks sooner.
+     */
     private static final long LATEST_ASK_MS = 1_000;
     private static final long LATEST_ASK_JITTER_MS = 500;
-    /** Reads of an answer in a turn of the loop: some hundred backends, so that requests are not held up. */
+    /** Reads of an answer per loop iteration: about a hundred backends, so that requests are not delayed. */
     private static final int READS_IN_TURN = 1;
 
-    /** Services that hold the list, the one asked at {@code at}; the next is tried when it fails. */
+    /** Addresses of the discovery service. {@code at} is the position of the one in use. */
     private List<InetSocketAddress> addresses;
     private int at;
     private final SplittableRandom jitter;
@@ -77,41 +81,48 @@
     private final Driver driver;
     private Channel channel;
     private Future<?> silence;
-    /** The call to come after a pause; null where none was put off yet. */
+    /** The task that starts the next call after a pause; null before the first pause. */
     private Future<?> next;
-    /** The version held; negative where the whole list is wanted. */
+    /** The version of the list in force; negative if the next call must ask for the full list. */
     private volatile long index;
-    /** Which data the list held is of, as the service tells; null where it doesn't. */
+    /** The registry epoch of the list in force; null if the service sends none. */
     private String epoch;
     private final long mostPauseMs;
     private long pauseMs = FIRST_PAUSE_MS;
     private boolean calling;
-    /** What the call that is out is for, or the next one will be. */
+    /** The purpose of the call in progress or, between calls, of the next one. */
     private Purpose purpose = Purpose.FIRST;
     private final DiscoveryWaits waits = new DiscoveryWaits();
     private final ListFreshness freshness = new ListFreshness();
-    /** Whether the answer to the call has begun to come, when, and how much of it has. */
+    /** Whether bytes of the answer to the call in progress have arrived, since when, and how many. */
     private boolean begun;
     private long begunAt;
     private long answerBytes;
     private long calledAt;
     private long calledUs;
-    /** When the list held was current: when the call was made that it answers; see {@link StartTimes}. */
+    /**
+     * When the list in force was current: the start time of the call that returned it. Used by
+     * {@link StartTimes}.
+     */
     private long currentUs = Long.MIN_VALUE;
     /**
-     * Since when what isn't known here may count as told, by the driver's clock: where lists are pushed, what
-     * the agent has counts whether or not it was asked. The greatest value where all is told at once.
+     * The earliest time, by the driver's clock, at which this proxy may have missed a change. With discovery
+     * {@code pushed}, a change counts as delivered once discovery has it, whether or not the proxy asked.
+     * {@code Long.MAX_VALUE} if no change can have been missed.
      */
     private long unsureUs;
     private boolean closed;
-    /** Calls that came to nothing since the last answer, where there are several services. */
+    /** Consecutive failed calls; counted only with several discovery addresses. */
     private int failedInRow;
-    /** Those of them that were answered, but with no list. */
+    /** Consecutive answers without a usable list. */
     private int refusedInRow;
-    /** Connections in a row for which this machine had no descriptor, port or buffer. */
+    /** Consecutive connections that failed for lack of a descriptor, port or buffer on this machine. */
     private int localFailures;
     private boolean heard;
-    /** Whether the first call has ended; where lists are asked for, they count only when they come. */
+    /**
+     * Whether the first call has succeeded, failed or exceeded the time that the start allows it. True from
+     * the start with discovery {@code on_request}, where a list counts as delivered only on arrival.
+     */
     private boolean settled;
     private Runnable whenSettled = () -> { };
 
@@ -126,15 +137,17 @@
         this.settled = asked;
         this.index = firstIndex(config);
         this.unsureUs = asked ? Long.MAX_VALUE : driver.clock().nowUs();
-        // With a grace of drains shorter than the pause, word of one could come only once that is over.
+        // A drain must become known within its grace. The pause with its jitter of a quarter stays within
+        // half of the grace.
         this.mostPauseMs = Math.max(FIRST_PAUSE_MS, Math.min(MOST_PAUSE_MS,
                 config.settings().rules().drainGraceUs() / 1000 * 2 / 5));
         driver.onWatch(this::call);
     }
 
     /**
-     * The version to ask from at first, that of the list in the configuration: what changed since costs
-     * discovery little, and the whole list much where thousands of backends are listed or many ask at once.
+     * Returns the version of the list in the configuration, or -1 if there is none. The first call asks for
+     * changes since that version: they cost discovery little, whereas the full list costs much with thousands
+     * of backends or many proxies starting at once.
      */
     private static long firstIndex(Config config) {
         Listing known = config.known();
@@ -147,22 +160,25 @@
         }
     }
 
-    /** The version held; negative where the whole list is wanted. Safe to read from any thread. */
+    /**
+     * Returns the version of the list in force; negative if the next call must ask for the full list. Safe to
+     * call from any thread.
+     */
     long index() {
         return index;
     }
 
-    /** How far the list held may be trusted. Safe to call from any thread. */
+    /** Returns how far the list in force may be trusted. Safe to call from any thread. */
     ListFreshness.State freshness() {
         return freshness.state();
     }
 
-    /** Whether a list has come since the start. */
+    /** Returns whether a list has been received since the start. */
     boolean heard() {
         return heard;
     }
 
-    /** Runs the action, once, as soon as nothing is on its way that may count as told already. */
+    /** Runs the action once: as soon as the first call has ended or counts as ended. */
     void whenSettled(Runnable action) {
         whenSettled = action;
         if (settled) {
@@ -170,7 +186,9 @@
         }
     }
 
-    /** Counts the first call as ended, though it may go on: what it tells later is taken all the same. */
+    /**
+     * Counts the first call as ended, even if it is in progress; a list that it returns later still applies.
+     */
     void settle() {
         settled = true;
         Runnable action = whenSettled;
@@ -186,8 +204,9 @@
     }
 
     /**
-     * From now on asks other addresses of the same service, and first for what is new. One that counts its
-     * versions anew shows that by a lower one, or refuses the one held; then the whole list is asked for.
+     * Drops the current call and switches to other addresses of the same service, asking for changes since
+     * the version in force. If the new service numbers its versions differently, it answers with a lower
+     * version or refuses the request; the full list is asked for then.
      */
     void moveTo(List<InetSocketAddress> others) {
         if (closed || others.equals(addresses)) {
@@ -206,7 +225,7 @@
         call();
     }
 
-    /** The list stays in force, but what comes next must be a whole one. */
+    /** Makes the next call ask for the full list; the present list stays in force until then. */
     private void forget() {
         index = -1;
         epoch = null;
@@ -220,7 +239,7 @@
         }
     }
 
-    /** Asks for the list or, once one is held, for what is newer. */
+    /** Starts a call for the full list or, with a list in force, for the changes since its version. */
     private void call() {
         if (calling || closed) {
             return;
@@ -263,16 +282,18 @@
     }
 
     /**
-     * This machine had no descriptor, port or buffer for the connection, which says nothing about discovery:
-     * the same call begins anew soon, some times. Told of late: by then discovery may have moved, and another
-     * call be out.
+     * Retries the call after a short pause: this machine had no descriptor, port or buffer for the
+     * connection, which says nothing about discovery. After too many such failures in a row the call counts
+     * as failed. Ignored if another call has started meanwhile, for example because the addresses changed.
+     *
+     * @param from the start time of the call that needed the connection
      */
     private void notConnectedHere(long from) {
         if (from != calledAt || !calling || closed) {
             return;
         }
         if (++localFailures > MOST_LOCAL_FAILURES) {
-            failed("no socket, port or buffer here");
+            failed("no descriptor, port or buffer on this machine for the connection");
             return;
         }
         calling = false;
@@ -281,7 +302,7 @@
         callIn(LOCAL_PAUSE_MS);
     }
 
-    /** Has the next call begin after a pause, unless something else has it begin sooner. */
+    /** Schedules the next call after a pause; a call that starts sooner cancels the schedule. */
     private void callIn(long ms) {
         next = loop.schedule(this::call, ms, TimeUnit.MILLISECONDS);
     }
@@ -291,20 +312,21 @@
     }
 
     /**
-     * No answer, or no more of one. What a silent watch misses counts as told soon, so it is opened anew at
-     * once; that is no failure for the module to pause after.
+     * Ends a call whose answer did not start or did not continue within the timeout. With discovery
+     * {@code on_request} the next call starts at once, as changes that a dead watch misses soon count as
+     * delivered; the decision module is not notified of a failure, after which it would pause.
      */
     private void silent() {
         waits.silent();
         if (asked && calling && !closed) {
-            giveUp(begun ? "the answer stopped" : "no answer");
+            giveUp(begun ? "the answer stalled" : "no answer before the timeout");
             call();
         } else {
-            failed(begun ? "the answer stopped" : "no answer");
+            failed(begun ? "the answer stalled" : "no answer before the timeout");
         }
     }
 
-    /** Bytes of an answer came; one that stops half-way is not waited for as long as a silent watch. */
+    /** Restarts the timeout when bytes of an answer arrive; it is shorter from the first byte on. */
     private void stir(Channel from) {
         if (from != channel || !calling) {
             return;
@@ -328,12 +350,12 @@
         if (gone == channel) {
             channel = null;
             if (calling) {
-                failed("the connection ended");
+                failed("the connection closed before the answer was complete");
             }
         }
     }
 
-    /** The call came to nothing. The list held stays in force. */
+    /** Ends the call in progress as failed and schedules a retry. The list in force stays. */
     private void failed(String why) {
         if (!calling || closed) {
             return;
@@ -344,7 +366,7 @@
             driver.discoveryFailed();
         } else {
             unsureUs = Math.min(unsureUs, driver.clock().nowUs());
-            // With jitter, lest all proxies come back to a service that was down at the same moment.
+            // Jitter keeps proxies from returning all at once to a service that was down.
             long afterMs = failedInRow == 1 ? jitter.nextLong(FAIL_OVER_MS + 1)
                     : pauseMs * 3 / 4 + jitter.nextLong(pauseMs / 2 + 1);
             callIn(afterMs);
@@ -353,7 +375,7 @@
         settle();
     }
 
-    /** Ends the call that is out; the next goes to the next service, where there are several. */
+    /** Ends the call in progress; with several addresses the next call goes to another one. */
     private void giveUp(String why) {
         freshness.failed(driver.clock().nowUs(), why);
         if (LOG.isDebugEnabled()) {
@@ -373,9 +395,10 @@
     }
 
     /**
-     * Turns to another service: to any first, lest all go from one to the same, and then to each in turn. One
-     * that tells which data it has is taken for a replica among others of the same data, where the watch goes
-     * on from the version held; the whole list is wanted once as many refused that as there are services.
+     * Switches to another address: after the first failure to a random one, so that proxies don't all move to
+     * the same, then to each in order. A service that sends an epoch is a replica of the same data, where the
+     * watch continues from the version in force. The full list is asked for if no epoch is known, or after as
+     * many answers without a usable list as there are addresses.
      */
     private void failOver() {
         failedInRow++;
@@ -386,15 +409,16 @@
         }
     }
 
-    /** An answer has come to its end; the list is null where it held none. */
+    /** Handles a complete answer; {@code listing} is null if it contained no valid list. */
     private void answered(HttpResponse response, Listing listing) {
         if (response.status().codeClass() == HttpStatusClass.CLIENT_ERROR) {
-            forget();  // it does not know the version held
+            forget();  // the service doesn't know the version in force
         }
         String told = response.headers().get(EPOCH);
         if (listing == null || !listing.whole() && !follows(listing, told)) {
             refusedInRow++;
-            failed("answered " + response.status().code() + (listing == null ? " with no list" : ""));
+            failed("answered " + response.status().code()
+                    + (listing == null ? " without a valid list" : " with changes that do not apply"));
             return;
         }
         waits.answered(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt));
@@ -414,11 +438,11 @@
             dropChannel();
         }
         if (addresses.size() > 1 && response.headers().contains(STALE)) {
-            // What it told is in force; another one may know more.
+            // The replica's list is applied, but another replica may have a newer one.
             at = (at + 1) % addresses.size();
             dropChannel();
         }
-        // First the next watch, so that it comes in time however long the news takes.
+        // Starts the next watch before applying the list, which may take long.
         if (listing.entries().isEmpty() && System.nanoTime() - calledAt < IDLE_PAUSE_MS * 1_000_000) {
             callIn(IDLE_PAUSE_MS);
         } else {
@@ -433,22 +457,22 @@
         settle();
     }
 
-    /** Whether changes may be applied to the list held; where not, the whole list is wanted next. */
+    /** Returns whether changes apply to the list in force; if not, the next call asks for the full list. */
     private boolean follows(Listing changes, String told) {
         boolean follows = index >= 0 && changes.index() >= index && Objects.equals(told, epoch);
         if (!follows) {
             LOG.atWarn().addKeyValue("index", changes.index()).addKeyValue("held", index)
-                    .log("changes do not follow the list held");
+                    .log("changes do not apply to the list in force; requesting the full list");
             forget();
         }
         return follows;
     }
 
-    /** Reads what comes on the connection to discovery, and hands on each answer at its end. */
+    /** Reads answers from the connection to discovery and passes on each when it is complete. */
     private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
-        /** The answer that is coming, or null; interim ones are passed over. */
+        /** The head of the answer being received, or null. Informational (1xx) answers are skipped. */
         private HttpResponse response;
-        /** Its list so far; null where it holds none, or none that can be read. */
+        /** The reader of the answer's list; null if the answer contains no list or an invalid one. */
         private ListingReader reading;
 
         @Override
@@ -478,7 +502,8 @@
                     listing = last ? reading.end() : null;
                 }
             } catch (ListingReader.Unreadable e) {
-                LOG.atWarn().addKeyValue("why", e.getMessage()).log("a list that can't be read");
+                LOG.atWarn().addKeyValue("why", e.getMessage())
+                        .log("received an invalid list; requesting the full list");
                 reading = null;
                 forget();
             }
--- a/src/main/java/larkworks/proxy/DiscoveryWaits.java
+++ b/src/main/java/larkworks/proxy/DiscoveryWaits.java
@@ -1,54 +1,58 @@
 package larkworks.proxy;
 
 /**
- * How long a call to discovery may wait and be waited for. The first silence is noticed as early as the terms
- * on changes ask for. A discovery that needs longer, as it handles the calls of many in turn or writes
- * thousands of lines, is given more time at each further silence: a call that is given up goes to the back of
- * its queue, and has it do the same work again.
+ * Wait times of calls to discovery, sent to it as {@code wait}, and timeouts of its answers. The first
+ * timeout is short enough to learn of changes by the time that they count as delivered. Each further timeout
+ * in a row extends the next ones, for a discovery service that is slow because it handles the calls of many
+ * proxies one by one or writes thousands of backends: a call that is abandoned goes to the back of its queue
+ * and makes it do the same work again.
  */
 final class DiscoveryWaits {
 
     /**
-     * How long a watch may wait. What one misses counts as told 6 s after it fell silent, which may be at its
-     * beginning: by then its silence must have been noticed, and the pause be over after a call that failed.
+     * How long discovery may hold a watch open. Changes that a dead watch misses count as delivered 6 s
+     * later, and a watch may die right at its start. Within these 6 s the watch must time out, and the pause
+     * after a failed call must be over.
      */
     private static final long WATCH_MS = 3_250;
-    /** A watch's answer that is so much later than its wait is taken to be lost. */
+    /** A watch times out so long after the end of its wait. */
     private static final long WATCH_SILENCE_MS = 1_250;
-    /** The wait of the first call at an address: a start waits for its answer. */
+    /** The wait of the first call at an address; short, as the proxy's start depends on the answer. */
     private static final long FIRST_WAIT_MS = 1;
-    /** The wait of the first call after one that came to nothing: it has to show that discovery is back. */
+    /** The wait of the first call after a failed one; short, as it must show whether discovery is back. */
     private static final long CATCH_UP_WAIT_MS = 500;
-    /** A first answer later than this is taken to be lost. */
+    /** Timeout of the first call at an address, of a call for the full list, and of a connection attempt. */
     static final long FIRST_SILENCE_MS = 2_000;
     /**
-     * After a call that came to nothing the next one may take so long. With the pause before it, it ends well
-     * within the 6 s after which what discovery has counts as told, whether its answer is slow, as calls wait
-     * in turn there, or never comes.
+     * Timeout of the first call after a failed one. Pause and timeout together stay well below the 6 s after
+     * which a change at discovery counts as delivered, whether the answer is slow, as discovery handles calls
+     * one by one, or never comes.
      */
     private static final long CATCH_UP_MS = 3_500;
-    /** The most that is granted beyond that. */
+    /** Maximum by which repeated timeouts extend the next ones. */
     private static final long MOST_EXTRA_MS = 30_000;
-    /** An answer that has begun and stops for so long is given up: its news may be of a drain. */
+    /** Timeout between two parts of an answer; short, as the answer may announce a drain. */
     private static final long STOP_MS = 1_000;
-    /** However it goes on, it is due whole by then, and so much later as it has bytes at the least rate. */
+    /**
+     * Time for a complete answer from its first byte on, extended by its bytes so far at the minimum rate.
+     */
     private static final long WHOLE_MS = 4_000;
     private static final long LEAST_BYTES_A_MS = 16;
 
-    /** What a call is for. */
+    /** The purpose of a call, which sets its wait and its timeout. */
     enum Purpose {
-        /** The first at an address. */
+        /** The first call at an address. */
         FIRST,
-        /** The first after one that came to nothing. */
+        /** The first call after a failed one. */
         CATCH_UP,
-        /** The next of those that go on. */
+        /** A long poll after a successful call. */
         WATCH
     }
 
     private int silences;
     private long extraMs;
 
-    /** How long discovery may hold a call back until something is new. */
+    /** Returns how long discovery may delay its answer while there are no changes. */
     long waitMs(Purpose purpose) {
         return switch (purpose) {
             case FIRST -> FIRST_WAIT_MS;
@@ -57,7 +61,9 @@
         };
     }
 
-    /** How long the first byte of its answer is waited for; {@code whole}: of the whole list. */
+    /**
+     * Returns the timeout of an answer's first byte; {@code whole}: whether the call is for the full list.
+     */
     long firstByteMs(Purpose purpose, boolean whole) {
         long usualMs = switch (purpose) {
             case FIRST -> FIRST_SILENCE_MS;
@@ -67,20 +73,20 @@
         return usualMs + extraMs;
     }
 
-    /** How long further bytes are waited for in an answer that began so long ago and has so many by now. */
+    /** Returns the timeout of the next part of an answer, given its age and its bytes so far. */
     long nextByteMs(long sinceFirstByteMs, long bytes) {
         long leftMs = WHOLE_MS + extraMs + bytes / LEAST_BYTES_A_MS - sinceFirstByteMs;
         return Math.max(0, Math.min(STOP_MS + extraMs, leftMs));
     }
 
-    /** A call was given up with no answer, or half of one. */
+    /** Records that a call timed out; from the second in a row on, timeouts grow. */
     void silent() {
         if (++silences > 1) {
             extraMs = Math.min(MOST_EXTRA_MS, Math.max(CATCH_UP_MS, 2 * extraMs));
         }
     }
 
-    /** A call was answered, so long after it was made. */
+    /** Records that a call was answered; quick answers shrink grown timeouts step by step. */
     void answered(long tookMs) {
         silences = 0;
         if (2 * tookMs < extraMs) {
--- a/src/main/java/larkworks/proxy/HangUp.java
+++ b/src/main/java/larkworks/proxy/HangUp.java
@@ -3,14 +3,15 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles SIGHUP, at which the JVM would exit. The JDK offers {@code sun.misc.Signal} alone for it, of which
- * the compiler warns wherever it is named; hence the reflection.
+ * Installs a handler for SIGHUP, at which the JVM would otherwise exit. The JDK offers only
+ * {@code sun.misc.Signal} for this. The compiler warns at each mention of that class, so it is used by
+ * reflection.
  */
 final class HangUp {
 
     private HangUp() { }
 
-    /** Runs the action at each SIGHUP from now on, on a thread of the JVM's. */
+    /** Runs the action at each SIGHUP from now on, on one of the JVM's own threads. */
     static void handle(Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -23,7 +24,7 @@
             signal.getMethod("handle", signal, handler).invoke(null,
                     signal.getConstructor(String.class).newInstance("HUP"), handling);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIGHUP can't be handled here", e);
+            throw new IllegalStateException("can't install a handler for SIGHUP: sun.misc.Signal failed", e);
         }
     }
 }
--- a/src/main/java/larkworks/proxy/ListFreshness.java
+++ b/src/main/java/larkworks/proxy/ListFreshness.java
@@ -5,36 +5,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How far the list of backends may be trusted. Requests are served by the list held in every state: an old
- * list is the best there is, and what it misses shows as failed connections. For the proxy's loop only, but
- * for {@link #state}.
+ * Tracks how far the list of backends may be trusted. Requests are served from the list in every state: an
+ * old list is the best available, and backends that have gone since show as failed connections. For use on
+ * the proxy's loop only, except {@link #state}.
  */
 final class ListFreshness {
 
-    /** What is known of the list held. */
+    /** How far the list in force may be trusted. */
     enum State {
-        /** A watch is open, or the last call was answered. */
+        /** The last call to discovery was answered, or the first one has not failed yet. */
         FRESH,
-        /** A call came to nothing since. */
+        /** A call to discovery has failed since the last answer. */
         BEHIND,
-        /** That is so long ago that changes count as told which are not known here. */
+        /** Calls have failed for so long that this proxy may lack changes that count as delivered to it. */
         STALE
     }
 
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
-    /** A change counts as told so long after discovery had it. */
+    /** A change counts as delivered to the proxy so long after discovery had it. */
     private static final long TOLD_AFTER_US = 6_000_000;
 
     private volatile State state = State.FRESH;
     private long behindSinceUs;
     private int failures;
 
-    /** What is known now. */
+    /** Returns the current state. */
     State state() {
         return state;
     }
 
-    /** A call came to nothing. */
+    /** Records a failed call to discovery. */
     void failed(long nowUs, String why) {
         failures++;
         if (state == State.FRESH) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** A call was answered. */
+    /** Records an answered call to discovery. */
     void answered(long nowUs) {
         if (state != State.FRESH) {
             become(State.FRESH, nowUs, "answered");
--- a/src/main/java/larkworks/proxy/Listing.java
+++ b/src/main/java/larkworks/proxy/Listing.java
@@ -8,24 +8,25 @@
 import larkworks.Balancer.ServerStatus;
 
 /**
- * A list of backends in discovery's form.
+ * A list of backends as received from discovery or read from the configuration.
  *
- * @param index its version
- * @param whole false where it holds only what changed
+ * @param index version of the list
+ * @param whole whether it is a full list; false if it contains only changes
+ * @param entries its backends
  */
 record Listing(long index, boolean whole, List<Entry> entries) {
 
-    /** A backend: what the module is told of it, and where it listens. */
+    /** A backend: its description for the decision module, and its address, null if it is gone. */
     record Entry(Server server, InetSocketAddress address) {
 
-        /** The same backend, gone. */
+        /** Returns an entry for the same backend with status {@code GONE}. */
         Entry gone() {
             return new Entry(new Server(server.id(), server.startedAtUs(), server.zone(), server.group(),
                     server.size(), ServerStatus.GONE), null);
         }
     }
 
-    /** A backend's line whose fields are read one by one; those that mean nothing here are passed over. */
+    /** Builds an entry from the JSON fields of a backend, given one by one; unknown fields are ignored. */
     static final class Line {
         private final List<String> zones;
         private Object name;
@@ -40,7 +41,7 @@
             this.zones = zones;
         }
 
-        /** Takes a field: a text, a number or a boolean. */
+        /** Sets a field, whose value is a string, a number, a boolean or null. */
         void put(String field, Object value) {
             switch (field) {
                 case "name" -> name = value;
@@ -55,22 +56,24 @@
         }
 
         /**
-         * The backend of this line.
+         * Returns the entry.
          *
-         * @throws IllegalArgumentException where a field is missing or makes no sense
+         * @throws IllegalArgumentException if a required field is missing or invalid
          */
         Entry entry() {
             if (!(name instanceof String id)) {
-                throw new IllegalArgumentException("a backend without a name");
+                throw new IllegalArgumentException("endpoint without a name: a string is wanted, not '"
+                        + name + "'");
             }
             ServerStatus told = switch (String.valueOf(status)) {
                 case "in_service" -> ServerStatus.UP;
                 case "terminating" -> ServerStatus.DRAINING;
                 case "terminated" -> ServerStatus.GONE;
-                default -> throw new IllegalArgumentException("status of " + id + " is not known");
+                default -> throw new IllegalArgumentException("status of " + id
+                        + ": in_service, terminating or terminated is wanted, not '" + status + "'");
             };
             double size = weight instanceof Number w && w.doubleValue() > 0 ? w.doubleValue() : 1;
-            // One that is gone may come without an address; nothing is sent to it.
+            // A terminated backend may lack an address, as nothing is sent to it.
             InetSocketAddress at = told == ServerStatus.GONE ? null : Config.address(address);
             return new Entry(new Server(id, whole(since) * 1000,
                     Math.max(0, zones.indexOf(String.valueOf(zone))), (int) whole(group), size, told), at);
@@ -78,15 +81,17 @@
     }
 
     /**
-     * Reads a list.
+     * Returns the list that a parsed JSON document describes.
      *
-     * @throws IllegalArgumentException where a field is missing or makes no sense
+     * @param zones names of the zones; a zone's position is its number
+     * @throws IllegalArgumentException if a required field is missing or invalid
      */
     static Listing of(Map<?, ?> json, List<String> zones) {
         if (!(json.get("index") instanceof Number index)
                 || !(json.get("snapshot") instanceof Boolean whole)
                 || !(json.get("endpoints") instanceof List<?> endpoints)) {
-            throw new IllegalArgumentException("no list of backends");
+            throw new IllegalArgumentException("a number 'index', a boolean 'snapshot' and a list 'endpoints'"
+                    + " are wanted");
         }
         List<Entry> entries = new ArrayList<>(endpoints.size());
         for (Object endpoint : endpoints) {
--- a/src/main/java/larkworks/proxy/ListingReader.java
+++ b/src/main/java/larkworks/proxy/ListingReader.java
@@ -11,24 +11,24 @@
 import java.util.List;
 
 /**
- * Reads a list of backends whose text comes in parts. What a part holds is read when it comes, so that a list
- * of thousands of backends neither lies in memory as text nor is read in one go.
+ * Parses a JSON list of backends incrementally, as its parts arrive, so that a list of thousands of backends
+ * is neither kept in memory as text nor parsed all at once, which would delay requests on the loop.
  */
 final class ListingReader {
 
-    /** More than any deployment has; a list beyond is no list of ours. */
+    /** Maximum backends in a list, more than any deployment has; a longer list is rejected. */
     static final int MOST_BACKENDS = 10_000;
-    /** A line is far shorter, however it is indented. */
+    /** Maximum average size of a backend's JSON; real ones are far smaller, however they are indented. */
     private static final int MOST_LINE_BYTES = 2_048;
     private static final long MOST_BYTES = (long) MOST_BACKENDS * MOST_LINE_BYTES;
-    /** Depths of the document, the list in it, and a line of that. */
+    /** Nesting depths of the JSON document, of the array of backends in it, and of a backend in that. */
     private static final int DOCUMENT = 1;
     private static final int LIST = 2;
     private static final int LINE = 3;
 
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    /** What came is no list of backends. */
+    /** Thrown if the text is not a valid list of backends. */
     static final class Unreadable extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -50,7 +50,7 @@
     private Boolean whole;
     private Listing.Line line;
 
-    /** Reads one list; {@code zones} are the names of the zones, by position. */
+    /** Creates a reader of one list; {@code zones} are names of zones, a zone's position being its number. */
     ListingReader(List<String> zones) {
         this.zones = zones;
         try {
@@ -62,14 +62,14 @@
     }
 
     /**
-     * Reads the next part, which stays the caller's.
+     * Parses the next part of the text. The caller keeps the buffer and releases it.
      *
-     * @throws Unreadable where this can't be a list
+     * @throws Unreadable if the text so far can't be the start of a valid list
      */
     void read(ByteBuf part) throws Unreadable {
         bytes += part.readableBytes();
         if (bytes > MOST_BYTES) {
-            throw new Unreadable("more than " + MOST_BYTES + " bytes", null);
+            throw new Unreadable("list of more than " + MOST_BYTES + " bytes", null);
         }
         if (!part.isReadable()) {
             return;
@@ -84,9 +84,9 @@
     }
 
     /**
-     * The list, once all of it has come.
+     * Returns the list, after its last part was read.
      *
-     * @throws Unreadable where it is not whole, or no list
+     * @throws Unreadable if the text is truncated or not a valid list
      */
     Listing end() throws Unreadable {
         try {
@@ -96,7 +96,8 @@
             throw new Unreadable(e.getMessage(), e);
         }
         if (!ended || index == null || whole == null || !listed) {
-            throw new Unreadable("no list of backends", null);
+            throw new Unreadable("truncated, or without a number 'index', a boolean 'snapshot' or a list"
+                    + " 'endpoints'", null);
         }
         return new Listing(index, whole, entries);
     }
@@ -105,7 +106,7 @@
         for (JsonToken token = parser.nextToken(); token != null && token != JsonToken.NOT_AVAILABLE;
                 token = parser.nextToken()) {
             if (ended || depth == 0 && token != JsonToken.START_OBJECT) {
-                throw new IllegalArgumentException("not one JSON object");
+                throw new IllegalArgumentException("a single JSON object is wanted, found " + token);
             }
             read(token);
         }
@@ -131,14 +132,14 @@
         } else if (depth == LINE && inList && token == JsonToken.START_OBJECT) {
             line = new Listing.Line(zones);
         } else if (depth == LINE && inList) {
-            throw new IllegalArgumentException("a backend that is no object");
+            throw new IllegalArgumentException("endpoints: a list of JSON objects is wanted, found " + token);
         }
     }
 
     private void end(JsonToken token) {
         if (depth == LINE && line != null && token == JsonToken.END_OBJECT) {
             if (entries.size() == MOST_BACKENDS) {
-                throw new IllegalArgumentException("more than " + MOST_BACKENDS + " backends");
+                throw new IllegalArgumentException("list of more than " + MOST_BACKENDS + " backends");
             }
             entries.add(line.entry());
             line = null;
@@ -155,7 +156,7 @@
         } else if (depth == LINE && line != null) {
             line.put(parser.currentName(), scalar(token));
         } else if (depth == LIST && inList) {
-            throw new IllegalArgumentException("a backend that is no object");
+            throw new IllegalArgumentException("endpoints: a list of JSON objects is wanted, found " + token);
         }
     }
 
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -30,36 +30,45 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One proxy: its parts and its life from start to SIGTERM. */
+/** One proxy: creates its parts and runs its lifecycle, from the start to the shutdown after SIGTERM. */
 public final class Main {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
 
-    /** New connections come for up to 0.4 s after SIGTERM; each still gets its answers. */
+    /**
+     * How long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s after it, and their
+     * requests are answered too.
+     */
     private static final long ACCEPT_MS = 700;
-    /** How often it is seen whether all is finished. */
+    /** How often the shutdown checks whether all requests have ended. */
     private static final long END_LOOK_MS = 10;
-    /** SIGKILL comes no sooner than so long after the longest deadline, which counts as 3 s at the most. */
+    /**
+     * The platform sends SIGKILL no sooner than after the longest deadline of any request class, counted as
+     * 3 s at most, plus this time.
+     */
     private static final long KILL_MS = 700;
     private static final long LONGEST_MS = 3_000;
     /**
-     * What comes late is answered so long before that: limits in time have 50 ms of slack on sockets, and the
-     * process may be held up for 150 between reading its clock and writing.
+     * Requests that arrive late in the shutdown are answered so long before SIGKILL: time limits have 50 ms
+     * of slack on sockets, and the process may pause for 150 ms between reading its clock and writing.
      */
     private static final long KILL_MARGIN_MS = 200;
-    /** Large bodies have no deadline; platforms commonly wait so long before they kill a process. */
+    /**
+     * How long the shutdown waits for large bodies, which have no deadline; platforms commonly wait this long
+     * before they kill a process.
+     */
     private static final long TRANSFER_MS = 30_000;
 
     /**
-     * So long after the start of its parts the proxy waits for the first list, however that goes on; then the
-     * one known from before serves. A restarted process may have to be ready within 6 s, of which loading and
-     * warming up take up to 3 s where twenty start at once on shared cores.
+     * Maximum wait for the first list, from the start of the proxy's parts; after it the proxy serves with
+     * the list from its configuration. A restarted process may have to be ready within 6 s, of which class
+     * loading and warm-up take up to 3 s if twenty processes start at once on shared cores.
      */
     private static final long LIST_WAIT_MS = 2_500;
-    /** A socket to listen with that can't be had for a moment is asked for again, and for so long. */
+    /** Pause between attempts to listen that fail for a passing reason, and how long they are repeated. */
     private static final long LISTEN_AGAIN_MS = 20;
     private static final long LISTEN_TRIES_MS = 5_000;
-    /** How often it is seen whether that list has come. */
+    /** How often the start checks whether the first list has arrived. */
     private static final long LIST_LOOK_MS = 20;
 
     private final PollTimes polls = new PollTimes();
@@ -72,16 +81,16 @@
     private final Driver driver;
     private final Frontend frontend;
     private final Discovery discovery;
-    /** Null where there is no second address. */
+    /** Null without an admin address. */
     private Maintenance maintenance;
     private Channel admin;
-    /** Null where membership is off. */
+    /** Null if membership is off. */
     private final FleetMember member;
-    /** Null where nothing is shared with other proxies. */
+    /** Null if no state is shared with other proxies. */
     private final SharedState shared;
-    /** Null where no metrics are kept. */
+    /** Null if metrics are off. */
     private final Meters meters;
-    /** Null where this proxy takes no part in rollouts. */
+    /** Null if this proxy does not take part in rollouts. */
     private Adoption adoption;
     private final Promise<InetSocketAddress> serving = loop.newPromise();
 
@@ -106,11 +115,11 @@
     }
 
     /**
-     * Runs the proxy that a file describes; see {@link Config#read}.
+     * Runs the proxy with the configuration in a file, read by {@link Config#read}, until it serves.
      *
-     * @param file the configuration's name, null where none was given
-     * @param flags values that stand before the file's
-     * @throws Unusable where the configuration, or an address in it, can't be used
+     * @param file the name of the configuration file, null if none was given
+     * @param flags values by key that override those of the file
+     * @throws Unusable if the configuration is invalid, or an address in it can't be listened at
      */
     public static void run(String file, Map<String, String> flags) throws Unusable, InterruptedException {
         Config config = Config.read(file, System.getenv(), flags);
@@ -121,7 +130,7 @@
             main.adoption = new Adoption(config, main.loop, main.driver,
                     patch -> Config.read(file, System.getenv(), flags, patch).settings());
         }
-        // Before anything is listened for: what comes then is finished, however early the signal is.
+        // Registered before the proxy listens, so that requests are finished however early SIGTERM comes.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             main.finish();
             Logs.stop();
@@ -130,13 +139,13 @@
         main.awaitServing();
     }
 
-    /** Joins the module's side, the fleet's and what is between them. */
+    /** Creates the state shared with other proxies and connects it with the driver and the fleet member. */
     private SharedState share() {
         SharedState state = new SharedState(config.shared(), config.fleet().self(),
                 config.fleet().peers().size(),
                 config.settings().classes().stream().map(RequestClass::name).toList(),
                 config.settings().rules().coldUs() / 1000, () -> driver.clock().nowUs() / 1000,
-                // Processes given one seed must not all choose the same members to tell.
+                // Mixes in the member's number: proxies with the same seed must choose different members.
                 new Random(config.seed() + config.fleet().self() * 0x9E3779B97F4A7C15L), member.peers(),
                 driver.new FromPeers());
         member.carry(state);
@@ -144,7 +153,7 @@
         return state;
     }
 
-    /** Figures that are looked at when scraped, each safe to read from another thread. */
+    /** Registers the gauges that are read at each scrape, from another thread than the loop. */
     private void measure() {
         meters.gauge("larkworks.discovery.index", discovery, d -> d.index());
         for (ListFreshness.State state : ListFreshness.State.values()) {
@@ -163,8 +172,9 @@
     }
 
     /**
-     * Starts everything. Without a second address clients are listened for at once; with one another process
-     * may serve them still, so that this one takes its part only when it can serve.
+     * Starts all parts. Without an admin address the proxy listens for clients at once. With one, another
+     * process of this proxy may still serve at the same address, so this process listens there only when it
+     * can serve.
      */
     void start() throws Unusable, InterruptedException {
         boolean shared = config.admin() != null;
@@ -187,7 +197,7 @@
             Admin operators = new Admin(loop, frontend::serves, maintenance, tables(), meters);
             admin = listen(() -> operators.listen(config.admin()), config.admin());
         }
-        // Warming up at the shared address would reach the other process, and backends through it.
+        // Warm-up at the shared address could reach the other process and, through it, its backends.
         InetSocketAddress first = shared ? new InetSocketAddress(config.listen().getAddress(), 0)
                 : config.listen();
         Channel listener = listen(() -> frontend.listen(first, false), first);
@@ -198,14 +208,15 @@
                 serveOnceListed(listByNanos);
             } else {
                 serving.trySuccess(self);
-                // What discovery has may count as told from the first moment on.
+                // Changes at discovery may count as delivered from the start, so the first call must have
+                // ended.
                 discovery.whenSettled(this::ready);
                 loop.schedule(discovery::settle, listByNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
             }
         }));
     }
 
-    /** What membership tells the operator: each change of the view, and whether it is to be trusted. */
+    /** Logs each change of a member's state, and whether this proxy sees a minority or a majority. */
     private static final class MemberLog implements Membership.Events {
         private static final Logger MEMBERS = LoggerFactory.getLogger("members");
 
@@ -218,7 +229,8 @@
 
         @Override
         public void dropped(String why) {
-            // Counted in the table; a line for each would hand the log to whoever floods the address.
+            // Only counted, in the members table: a log line for each datagram would let a flood fill the
+            // log.
         }
 
         @Override
@@ -227,7 +239,7 @@
         }
     }
 
-    /** What the second address shows beside readiness, by path. */
+    /** Returns the JSON tables that the admin address serves, by path. */
     private Map<String, Supplier<String>> tables() {
         Map<String, Supplier<String>> tables = new HashMap<>();
         if (member != null) {
@@ -239,7 +251,7 @@
         return tables;
     }
 
-    /** Listens; where the system has no socket for a moment, that must not end the start. */
+    /** Waits for a listener to bind; retries if the system is short of sockets only for a moment. */
     private static Channel listen(Supplier<ChannelFuture> binding, InetSocketAddress address)
             throws Unusable, InterruptedException {
         long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TRIES_MS);
@@ -255,10 +267,13 @@
         return bound.channel();
     }
 
-    /** The list known from the configuration may be old, so a new one is waited for, but not for long. */
+    /**
+     * Listens for clients once a list has been received and a backend can serve. The list in the
+     * configuration may be old; after {@code untilNanos} it suffices all the same.
+     */
     private void serveOnceListed(long untilNanos) {
         if (frontend.drains()) {
-            // Told to end during its start: another process serves at the address, or will.
+            // SIGTERM arrived during the start; another process serves at the address or soon will.
             return;
         }
         boolean waited = discovery.heard() || System.nanoTime() - untilNanos > 0;
@@ -286,13 +301,14 @@
         }
     }
 
-    /** Turns to the discovery that the replaced file names; all else in it waits for a restart. */
+    /** Switches to the discovery addresses in the replaced file; its other changes need a restart. */
     private synchronized void reload(String file, Map<String, String> flags) {
         try {
             Config next = Config.read(file, System.getenv(), flags);
             List<String> keys = config.restartNeeded(next);
             if (!keys.isEmpty()) {
-                LOG.atWarn().addKeyValue("keys", keys).log("a change that needs a restart is not taken up");
+                LOG.atWarn().addKeyValue("keys", keys)
+                        .log("changes of these keys need a restart and were not applied");
             }
             loop.execute(() -> discovery.moveTo(next.discovery()));
         } catch (Unusable e) {
@@ -300,26 +316,34 @@
         }
     }
 
-    /** What is held for clients: requests, how many of them past their deadline, bodies, connections. */
+    /**
+     * Requests and resources of clients at one moment, and violated invariants since the start.
+     *
+     * @param requests whether any request has not ended
+     * @param overdue requests whose clients wait for an answer past the deadline
+     * @param bodyBytes buffered bytes of request bodies
+     * @param connections open connections of clients
+     * @param violations violations of invariants
+     */
     record Held(boolean requests, int overdue, int bodyBytes, int connections, long violations) { }
 
-    /** What is held for clients now, for tests that show it given back; to be asked on the loop. */
+    /** Returns the requests and resources of clients now; to be called on the loop. */
     Held held() {
         return new Held(!driver.isIdle(), driver.overdue().size(), frontend.heldBytes(),
                 frontend.connections(), driver.invariants().count());
     }
 
-    /** The one loop, for tests that make several things happen in one turn of it. */
+    /** Returns the proxy's only event loop, so that tests can run several steps in one iteration. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Where the operators' calls come; only after a start with a second address. */
+    /** Returns the bound admin address; only after a start with an admin address. */
     InetSocketAddress adminAddress() {
         return (InetSocketAddress) admin.localAddress();
     }
 
-    /** Waits until the proxy serves, and tells where. */
+    /** Waits until the proxy serves and returns the address that it listens at. */
     InetSocketAddress awaitServing() throws Unusable, InterruptedException {
         serving.await();
         if (!serving.isSuccess()) {
@@ -330,15 +354,16 @@
     }
 
     /**
-     * Finishes what was taken, while the JVM waits for this before it exits. It ends only once that is done:
-     * whatever was left then would be lost, while SIGKILL may come later than it could.
+     * Shuts down after SIGTERM: drains and waits until all requests have ended, while the JVM, which runs
+     * this as a shutdown hook, waits before it exits. Requests left at its end would be lost, so it takes as
+     * long as they need: SIGKILL may come later than its earliest time.
      */
     void finish() {
-        // Not on the loop, which may come to it late.
+        // Read here and not on the loop, which may be busy and run the task late.
         long toldUs = driver.clock().nowUs();
         loop.execute(() -> {
             if (!frontend.listens() && member == null) {
-                // Nothing was taken, and nobody is to be told.
+                // No requests were accepted, and there are no members to notify.
                 finished.countDown();
                 return;
             }
@@ -349,8 +374,8 @@
             if (member != null) {
                 member.leave();
             }
-            // What comes over 0.7 s after the signal must not be found unanswered by the earliest SIGKILL. It
-            // may have been sent some time before it was heard here, so that the bound holds sooner.
+            // A request sent over 0.7 s after SIGTERM must be answered before the earliest SIGKILL. SIGTERM
+            // may have been sent some time before this process handled it, so the bound starts sooner.
             long killMs = Math.min(LONGEST_MS, longestMs()) + KILL_MS;
             driver.answerBy(toldUs + (ACCEPT_MS - KILL_MARGIN_MS) * 1000,
                     toldUs + (killMs - KILL_MARGIN_MS) * 1000);
@@ -371,7 +396,10 @@
                 / 1000;
     }
 
-    /** All answers have then left: each closes its connection. */
+    /**
+     * Ends the shutdown once all requests have ended and all connections are closed, which each answer does
+     * while the proxy drains, or once the time for large bodies is over.
+     */
     private void endWhenIdle() {
         frontend.closeUnused();
         boolean late = driver.clock().nowUs() > driver.lastDueUs() + TRANSFER_MS * 1000;
@@ -388,7 +416,7 @@
         }
     }
 
-    /** Ends the proxy at once. */
+    /** Closes the proxy at once, without draining. */
     void close() {
         loop.execute(discovery::close);
         if (member != null) {
--- a/src/main/java/larkworks/proxy/Maintenance.java
+++ b/src/main/java/larkworks/proxy/Maintenance.java
@@ -11,17 +11,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What processes of this proxy have in common, as during a replacement two are alive. Keeps the operators'
- * calls about backends where they outlive the process, tells the driver, and sees the calls that came to the
- * other process; while there is one, descriptors are shared with it.
+ * Shares state between the processes of this proxy, of which two are alive during a replacement. Stores which
+ * backends operators put in maintenance in a folder that outlives the process, checks the folder for commands
+ * that the other process received, and passes all of them to the driver. While another process is alive, the
+ * descriptors are divided between the two.
  */
 final class Maintenance {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
-    /** What became of a call. */
+    /** The outcome of an operator's command. */
     enum Result { DONE, UNKNOWN, NOT_KEPT }
 
-    /** Looks for the other process's calls in each fifth of the grace that a drain has; a look is cheap. */
+    /** Checks of the folder within the grace of a drain; a check is cheap. */
     private static final int LOOKS_IN_GRACE = 5;
     private static final long LEAST_PAUSE_US = 10_000;
 
@@ -30,11 +31,11 @@
     private final Sockets sockets;
     private final long pauseUs;
     private final InetSocketAddress listen;
-    /** Outlives this process; null where none does: calls then hold as long as it lives. */
+    /** Folder that outlives this process; null if none is given: commands then end with the process. */
     private final Path state;
-    /** Null until the folder can be had: a disk may fail for a while, which must not end the start. */
+    /** Null until the folder can be opened: a disk that fails for a while must not prevent the start. */
     private Absences kept;
-    /** Null likewise. */
+    /** Null until the folder can be opened. */
     private Presence presence;
     private boolean failing;
 
@@ -55,22 +56,22 @@
         }
     }
 
-    /** Each proxy has a folder of its own, by the address it listens on. */
+    /** Creates and returns the proxy's own folder, named after the address that it listens at. */
     private static Path folder(Path parent, InetSocketAddress listen) throws IOException {
         String name = listen.getAddress().getHostAddress() + "-" + listen.getPort();
         return Files.createDirectories(parent.resolve("larkworks-" + name.replace(':', '_')));
     }
 
-    /** Takes up what was called before; to be run on the loop, before the first request. */
+    /** Applies the stored commands; to be called on the loop, before the first request. */
     void start() {
         if (state == null) {
-            LOG.warn("TMPDIR is not set, calls about backends end with this process");
+            LOG.warn("TMPDIR is not set: operators' commands about backends are lost when this process ends");
             return;
         }
         look();
     }
 
-    /** Ends what shows other processes that this one lives. */
+    /** Releases the lock by which other processes see that this one is alive. */
     void close() throws IOException {
         if (presence != null) {
             presence.close();
@@ -91,14 +92,14 @@
             failing = false;
         } catch (IOException e) {
             if (!failing) {
-                LOG.error("can't look for backends called out", e);
+                LOG.error("can't read which backends are in maintenance; trying again", e);
             }
             failing = true;
         }
         loop.schedule(this::look, pauseUs, TimeUnit.MICROSECONDS);
     }
 
-    /** Leaves a backend out, or lets it serve again. */
+    /** Puts a backend in maintenance, or lets it serve again. */
     Result call(String backend, boolean leave) {
         if (!driver.knows(backend)) {
             return Result.UNKNOWN;
@@ -113,7 +114,8 @@
                 kept.remove(backend);
             }
         } catch (IOException e) {
-            LOG.atError().addKeyValue("backend", backend).setCause(e).log("a call can't be kept");
+            LOG.atError().addKeyValue("backend", backend).setCause(e)
+                    .log("can't store an operator's command about a backend; it was not applied");
             return Result.NOT_KEPT;
         }
         driver.maintenance(backend, leave);
--- a/src/main/java/larkworks/proxy/Presence.java
+++ b/src/main/java/larkworks/proxy/Presence.java
@@ -11,8 +11,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Shows whether another process of this proxy lives: each holds a lock on a file of its own in a folder that
- * they share. The system ends the lock with the process, however that ends.
+ * Shows whether another process of this proxy is alive: each process locks a file of its own in a folder that
+ * they share. The system releases the lock when the process ends, however it ends.
  */
 final class Presence {
 
@@ -20,7 +20,7 @@
 
     private final Path folder;
     private final Path own;
-    /** Open as long as the process lives; closing it would end the lock. */
+    /** Open as long as the process is alive; closing it would release the lock. */
     private final FileChannel channel;
 
     Presence(Path folder) throws IOException {
@@ -30,7 +30,7 @@
         channel.lock();
     }
 
-    /** Whether another process lives. Files of processes that ended are removed. */
+    /** Returns whether another process is alive, and removes files of processes that have ended. */
     boolean accompanied() throws IOException {
         boolean others = false;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
@@ -49,14 +49,14 @@
             }
             return lock == null;
         } catch (OverlappingFileLockException e) {
-            // Held within this JVM, by another proxy in it.
+            // The lock belongs to another proxy within this JVM.
             return true;
         } catch (NoSuchFileException e) {
             return false;
         }
     }
 
-    /** As if the process ended. */
+    /** Releases the lock, as the end of the process would. */
     void close() throws IOException {
         channel.close();
     }
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -9,21 +9,21 @@
 import larkworks.Balancer.Server;
 
 /**
- * Places servers' starts on this process's clock. The list tells them in Unix time by the clock that all
- * machines read; this process's own may have been wrong when it started, by seconds or an hour, and a start
- * that looks older than it is has a cold server crowded. So a start is bounded by what was seen here: it is
- * not in the future, and one that is told while the list was watched is no older than the list held before.
- * A difference of the clocks that shows this way holds for all starts.
+ * Converts the start times of servers to this process's clock. Lists give them in Unix time; this process's
+ * clock may have been wrong by seconds or an hour when it started, and a server whose start looks too old
+ * gets the load of a warm server while it is cold. So a start time is corrected by what this process
+ * observed: it is not in the future, and the start of a server that appears while the list is watched is no
+ * older than the previous list. A clock offset found this way is applied to all start times.
  */
 final class StartTimes {
 
-    /** Lists may come some seconds after the starts that they tell, which tells nothing of clocks. */
+    /** A list may arrive this long after a server's start without implying that the clocks differ. */
     private static final long LATE_LIST_US = 30_000_000;
 
-    /** Starts that are remembered, also of servers that no list names for a while. */
+    /** Maximum servers whose starts are kept, including servers that are no longer listed. */
     private static final int MOST_STARTS = 16_384;
 
-    /** A line of the list, and its start on this process's clock. */
+    /** A server as listed, with its listed start time, and its start on this process's clock. */
     private record Start(Server line, long placedUs) {
         Server placed() {
             return new Server(line.id(), placedUs, line.zone(), line.group(), line.size(), line.status());
@@ -39,21 +39,23 @@
             return size() > MOST_STARTS;
         }
     };
-    /** What has to be added to a told time to have it on this process's clock. */
+    /** Difference that converts a listed time to this process's clock. */
     private long offsetUs;
-    /** Whether a list from before this process's start told of servers. */
+    /** Whether a list remembered from before this process's start contained servers. */
     private boolean remembers;
 
-    /** {@code rampUs}: how long after its start a server is cold. */
+    /** Creates an empty table; {@code rampUs} is how long a server counts as cold after its start. */
     StartTimes(long rampUs) {
         this.rampUs = rampUs;
     }
 
     /**
-     * The lines with their starts on this process's clock.
+     * Returns the servers with their start times converted to this process's clock.
      *
-     * @param currentUs when the list held before was known to be current; the least value where it never was
-     * @param moved gets the servers told of before whose start shows by these lines to be a later one
+     * @param lines the servers as listed
+     * @param currentUs when the previous list was current; {@code Long.MIN_VALUE} if there is none
+     * @param moved receives servers of earlier lists whose start time turns out later than assumed, by a
+     *     clock offset that these servers reveal
      */
     List<Server> place(long nowUs, ListKind kind, List<Server> lines, long currentUs, List<Server> moved) {
         long before = offsetUs;
@@ -87,12 +89,15 @@
             }
             return Math.max(byClockUs, currentUs);
         }
-        // Not among the servers remembered from before, so it started since; by the clock that was long ago.
+        // A server that the remembered list lacks started after that list, however old its start looks.
         boolean started = kind != ListKind.REMEMBERED && remembers;
         return started && nowUs - byClockUs >= rampUs ? nowUs : byClockUs;
     }
 
-    /** Never to an earlier start than before: what was bounded by sight stays so. */
+    /**
+     * Applies a new clock offset to the starts kept so far. A start only ever moves to a later time, so that
+     * corrections from what this process observed stay in force.
+     */
     private void placeAnew(long nowUs, List<Server> moved) {
         starts.replaceAll((id, start) -> {
             long toldUs = start.line.startedAtUs();
--- a/src/main/java/larkworks/proxy/Training.java
+++ b/src/main/java/larkworks/proxy/Training.java
@@ -18,19 +18,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A part of the build: starts a proxy, which warms itself up, has small and large bodies passed on to a
- * backend of its own, and exits, so that the JVM writes down the classes that it loaded. Many proxies start
- * side by side, and share them from that archive; what is in it need not be loaded under a request.
+ * The training run for the JVM's class data archive, a step of the build. Starts a proxy, which warms up,
+ * sends it requests with small and large bodies, answered by a backend in this process, and exits; the JVM
+ * then archives the classes that were loaded. Proxies map these classes from the archive, which processes on
+ * one machine share, instead of loading them while requests wait.
  */
 public final class Training {
 
     private static final int LARGE = 4 * BackendPool.MOST_BODY;
-    /** In the configuration, the address of the backend. */
+    /** The backend's address in the configuration file, replaced by the address of the running backend. */
     private static final String BACKEND = "127.0.0.1:2";
 
     private Training() { }
 
-    /** Trains with the configuration in the named file. */
+    /** Runs the training with the configuration file that the first argument names. */
     public static void main(String[] args) throws Exception {
         Logs.quietNetty();
         Path folder = Files.createTempDirectory("training");
@@ -66,7 +67,7 @@
         }
     }
 
-    /** A backend that answers each request with a large body in chunks. */
+    /** Starts a backend that answers each request with a large body in chunked transfer encoding. */
     private static void serve(ServerSocket listener) {
         Thread serving = new Thread(() -> {
             while (!listener.isClosed()) {
@@ -79,7 +80,7 @@
                     out.write(new byte[LARGE]);
                     out.write("\r\n0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 } catch (IOException e) {
-                    // Probes leave without a request, and the listener closes at the end of the training.
+                    // Probes may connect and close without a request; the listener closes at the end.
                     continue;
                 }
             }
@@ -88,7 +89,7 @@
         serving.start();
     }
 
-    /** Reads to the blank line and returns the length of the body behind it. */
+    /** Reads a request's head and returns the length of the body that follows it. */
     private static int readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
--- a/src/main/java/larkworks/proxy/Warmup.java
+++ b/src/main/java/larkworks/proxy/Warmup.java
@@ -10,13 +10,14 @@
 import larkworks.Balancer.ServerStatus;
 
 /**
- * Has requests served before the first client comes, through a driver and a module of its own whose one
- * backend is this proxy's listener: else the first requests would pay for the loading of classes.
+ * Sends requests through the proxy before it serves clients, so that class loading does not delay the first
+ * requests of clients. It uses a driver and a decision module of its own, whose only backend is this proxy's
+ * listener.
  */
 final class Warmup implements Driver.Client {
 
     private static final int REQUESTS = 20;
-    /** Whatever happens, the proxy is not kept from its clients for longer. */
+    /** Maximum duration of the warm-up; the start goes on after it in any case. */
     private static final long MOST_MS = 500;
 
     private final Clock clock = new Clock();
@@ -33,7 +34,7 @@
         this.driver = new Driver(config, clock, loop, pool);
     }
 
-    /** Begins; {@code done} runs once, on the loop. */
+    /** Starts the warm-up; {@code done} runs once at its end, on the loop. */
     static void run(Config config, EventLoop loop, Sockets sockets, InetSocketAddress self, Runnable done) {
         Warmup warmup = new Warmup(config, loop, sockets, done);
         warmup.driver.listChanged(ListKind.REMEMBERED, List.of(new Listing.Entry(
@@ -56,7 +57,7 @@
         if (left >= 0) {
             left = -1;
             while (pool.evict()) {
-                // Closes one after the other.
+                // Each call closes one idle connection.
             }
             done.run();
         }
@@ -76,7 +77,7 @@
     @Override
     public BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
             Driver.Delivery delivery) {
-        throw new IllegalStateException("the answer of a warm-up is small");
+        throw new IllegalStateException("warm-up answer of " + length + " bytes: a small one is expected");
     }
 
     @Override
