--- a/src/main/java/larkworks/proxy/Admin.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -39,11 +39,11 @@
  * that client connections can't exhaust them; connections that send no request or a part of one are closed
  * when others need their descriptors.
  */
-final class Admin {
+final class AdminServer {
 
     private static final String METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
     /** Maximum connections at a time; beyond it the one is closed that has sent nothing for longest. */
-    static final int MOST_CONNECTIONS = 16;
+    static final int MAX_CONNECTIONS = 16;
     private static final int MOST_BODY = 4096;
     /** Connections are closed after this time, even if no complete request has arrived. */
     private static final long PATIENCE_MS = 2_500;
@@ -61,7 +61,7 @@
     private final Set<Channel> open = new LinkedHashSet<>();
     private final LingeringClose lingering;
 
-    Admin(EventLoop loop, BooleanSupplier ready, Maintenance maintenance,
+    AdminServer(EventLoop loop, BooleanSupplier ready, Maintenance maintenance,
             Map<String, Supplier<String>> tables, Meters meters) {
         this.meters = meters;
         this.loop = loop;
@@ -76,7 +76,7 @@
                 .option(ChannelOption.SO_BACKLOG, 256)
                 // Accepts few connections per loop iteration, so that each is read before new ones evict it.
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(1)
-                        .maxMessagesPerRead(MOST_CONNECTIONS / 4))
+                        .maxMessagesPerRead(MAX_CONNECTIONS / 4))
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -93,7 +93,7 @@
         open.add(channel);
         channel.closeFuture().addListener(closed -> open.remove(channel));
         loop.schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
-        if (open.size() > MOST_CONNECTIONS && !lingering.evict()) {
+        if (open.size() > MAX_CONNECTIONS && !lingering.evict()) {
             open.iterator().next().close();
         }
     }
@@ -138,10 +138,10 @@
         if (!(who instanceof String backend)) {
             return new Reply(HttpResponseStatus.BAD_REQUEST, "'who' is missing or no string");
         }
-        return switch (maintenance.call(backend, down)) {
+        return switch (maintenance.setMaintenance(backend, down)) {
             case DONE -> new Reply(HttpResponseStatus.OK, down ? "left out" : "may serve again");
-            case UNKNOWN -> new Reply(HttpResponseStatus.NOT_FOUND, "no such backend");
-            case NOT_KEPT -> new Reply(HttpResponseStatus.INTERNAL_SERVER_ERROR, "the call can't be kept");
+            case UNKNOWN_BACKEND -> new Reply(HttpResponseStatus.NOT_FOUND, "no such backend");
+            case NOT_STORED -> new Reply(HttpResponseStatus.INTERNAL_SERVER_ERROR, "the call can't be kept");
         };
     }
 
--- a/src/main/java/larkworks/proxy/Config.java
+++ b/src/main/java/larkworks/proxy/Config.java
@@ -35,21 +35,22 @@
  * @param zones names of the zones; a zone's position is its number
  * @param connectTimeoutUs timeout of a connection attempt to a backend
  * @param keepAliveUs idle time after which backends close a connection
- * @param loadReports whether backends report their load when probed
- * @param known a list of backends from before the start, perhaps old; null if there is none
- * @param admin address of the admin server; null if there is none
- * @param state folder for state that outlives the process; null if none is given
+ * @param hasLoadReports whether backends report their load when probed
+ * @param knownList a list of backends from before the start, perhaps old; null if there is none
+ * @param adminAddress address of the admin server; null if there is none
+ * @param stateFolder folder for state that outlives the process; null if none is given
  * @param fleet the other proxies of the tier; null if membership is off
  * @param shared settings of the state shared with them; null if none is shared
  * @param rolloutReportMs interval of the reports to the list service on the running configuration version,
  *     answered with the version to run; 0 if this proxy does not take part in rollouts
  * @param logs settings of the log
- * @param metrics whether metrics are collected and served at the admin address
+ * @param metricsEnabled whether metrics are collected and served at the admin address
  */
 public record Config(String name, InetSocketAddress listen, List<InetSocketAddress> discovery, long seed,
         int sockets, Settings settings, List<String> zones, long connectTimeoutUs, long keepAliveUs,
-        boolean loadReports, Listing known, InetSocketAddress admin, Path state, FleetConfig fleet,
-        SharedSettings shared, long rolloutReportMs, LogSettings logs, boolean metrics) {
+        boolean hasLoadReports, Listing knownList, InetSocketAddress adminAddress, Path stateFolder,
+        FleetConfig fleet, SharedSettings shared, long rolloutReportMs, LogSettings logs,
+        boolean metricsEnabled) {
 
     /**
      * Reads a configuration file, in TOML or in the platform's JSON. Command-line flags override
@@ -122,7 +123,7 @@
                 known(top, zones), admin, state.isBlank() ? null : Path.of(state),
                 fleet, shared(top, fleet, settings), rollout(top),
                 LogSettings.of(top.optionalSection("logs")), metrics.flag("enabled", false));
-        if (config.metrics && admin == null) {
+        if (config.metricsEnabled && admin == null) {
             top.fault("metrics.enabled", "admin_addr is wanted too, as metrics are served at that address");
         }
         return config;
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -150,8 +150,8 @@
      * of backends or many proxies starting at once.
      */
     private static long firstIndex(Config config) {
-        Listing known = config.known();
-        return known != null && known.whole() && !known.entries().isEmpty() ? known.index() : -1;
+        Listing known = config.knownList();
+        return known != null && known.isFull() && !known.entries().isEmpty() ? known.index() : -1;
     }
 
     void start() {
@@ -174,22 +174,22 @@
     }
 
     /** Returns whether a list has been received since the start. */
-    boolean heard() {
+    boolean hasReceivedList() {
         return heard;
     }
 
     /** Runs the action once: as soon as the first call has ended or counts as ended. */
-    void whenSettled(Runnable action) {
+    void onFirstCallEnded(Runnable action) {
         whenSettled = action;
         if (settled) {
-            settle();
+            markFirstCallEnded();
         }
     }
 
     /**
      * Counts the first call as ended, even if it is in progress; a list that it returns later still applies.
      */
-    void settle() {
+    void markFirstCallEnded() {
         settled = true;
         Runnable action = whenSettled;
         whenSettled = () -> { };
@@ -208,7 +208,7 @@
      * the version in force. If the new service numbers its versions differently, it answers with a lower
      * version or refuses the request; the full list is asked for then.
      */
-    void moveTo(List<InetSocketAddress> others) {
+    void switchTo(List<InetSocketAddress> others) {
         if (closed || others.equals(addresses)) {
             return;
         }
@@ -253,7 +253,7 @@
         long from = System.nanoTime();
         calledAt = from;
         calledUs = driver.clock().nowUs();
-        limit(waits.firstByteMs(purpose, index < 0));
+        limit(waits.firstByteTimeoutMs(purpose, index < 0));
         if (channel != null && channel.isActive()) {
             write(channel);
         } else {
@@ -261,7 +261,7 @@
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.RECVBUF_ALLOCATOR,
                             Sockets.readBuffers().maxMessagesPerRead(READS_IN_TURN))
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) DiscoveryWaits.FIRST_SILENCE_MS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) DiscoveryWaits.FIRST_CALL_TIMEOUT_MS)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel fresh) {
@@ -317,7 +317,7 @@
      * delivered; the decision module is not notified of a failure, after which it would pause.
      */
     private void silent() {
-        waits.silent();
+        waits.callTimedOut();
         if (asked && calling && !closed) {
             giveUp(begun ? "the answer stalled" : "no answer before the timeout");
             call();
@@ -334,7 +334,8 @@
         begunAt = begun ? begunAt : System.nanoTime();
         begun = true;
         silence.cancel(false);
-        limit(waits.nextByteMs(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begunAt), answerBytes));
+        limit(waits.nextBytesTimeoutMs(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begunAt),
+                answerBytes));
     }
 
     private void write(Channel to) {
@@ -372,12 +373,12 @@
             callIn(afterMs);
             pauseMs = Math.min(2 * pauseMs, mostPauseMs);
         }
-        settle();
+        markFirstCallEnded();
     }
 
     /** Ends the call in progress; with several addresses the next call goes to another one. */
     private void giveUp(String why) {
-        freshness.failed(driver.clock().nowUs(), why);
+        freshness.callFailed(driver.clock().nowUs(), why);
         if (LOG.isDebugEnabled()) {
             LOG.atDebug().addKeyValue("why", why).addKeyValue("purpose", purpose)
                     .addKeyValue("index", index).addKeyValue("bytes", answerBytes)
@@ -415,14 +416,14 @@
             forget();  // the service doesn't know the version in force
         }
         String told = response.headers().get(EPOCH);
-        if (listing == null || !listing.whole() && !follows(listing, told)) {
+        if (listing == null || !listing.isFull() && !follows(listing, told)) {
             refusedInRow++;
             failed("answered " + response.status().code()
                     + (listing == null ? " without a valid list" : " with changes that do not apply"));
             return;
         }
-        waits.answered(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt));
-        freshness.answered(driver.clock().nowUs());
+        waits.callAnswered(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt));
+        freshness.callAnswered(driver.clock().nowUs());
         epoch = told;
         calling = false;
         long answeredCallUs = calledUs;
@@ -452,9 +453,9 @@
         unsureUs = Long.MAX_VALUE;
         long beforeUs = currentUs;
         currentUs = answeredCallUs;
-        driver.listChanged(listing.whole() ? ListKind.WHOLE : ListKind.CHANGES, listing.entries(), toldUs,
+        driver.listChanged(listing.isFull() ? ListKind.WHOLE : ListKind.CHANGES, listing.entries(), toldUs,
                 beforeUs);
-        settle();
+        markFirstCallEnded();
     }
 
     /** Returns whether changes apply to the list in force; if not, the next call asks for the full list. */
@@ -499,9 +500,9 @@
             try {
                 if (reading != null) {
                     reading.read(content.content());
-                    listing = last ? reading.end() : null;
+                    listing = last ? reading.finish() : null;
                 }
-            } catch (ListingReader.Unreadable e) {
+            } catch (ListingReader.InvalidListException e) {
                 LOG.atWarn().addKeyValue("why", e.getMessage())
                         .log("received an invalid list; requesting the full list");
                 reading = null;
--- a/src/main/java/larkworks/proxy/DiscoveryWaits.java
+++ b/src/main/java/larkworks/proxy/DiscoveryWaits.java
@@ -22,7 +22,7 @@
     /** The wait of the first call after a failed one; short, as it must show whether discovery is back. */
     private static final long CATCH_UP_WAIT_MS = 500;
     /** Timeout of the first call at an address, of a call for the full list, and of a connection attempt. */
-    static final long FIRST_SILENCE_MS = 2_000;
+    static final long FIRST_CALL_TIMEOUT_MS = 2_000;
     /**
      * Timeout of the first call after a failed one. Pause and timeout together stay well below the 6 s after
      * which a change at discovery counts as delivered, whether the answer is slow, as discovery handles calls
@@ -64,30 +64,30 @@
     /**
      * Returns the timeout of an answer's first byte; {@code whole}: whether the call is for the full list.
      */
-    long firstByteMs(Purpose purpose, boolean whole) {
+    long firstByteTimeoutMs(Purpose purpose, boolean whole) {
         long usualMs = switch (purpose) {
-            case FIRST -> FIRST_SILENCE_MS;
+            case FIRST -> FIRST_CALL_TIMEOUT_MS;
             case CATCH_UP -> CATCH_UP_MS;
-            case WATCH -> whole ? FIRST_SILENCE_MS : WATCH_MS + WATCH_SILENCE_MS;
+            case WATCH -> whole ? FIRST_CALL_TIMEOUT_MS : WATCH_MS + WATCH_SILENCE_MS;
         };
         return usualMs + extraMs;
     }
 
     /** Returns the timeout of the next part of an answer, given its age and its bytes so far. */
-    long nextByteMs(long sinceFirstByteMs, long bytes) {
+    long nextBytesTimeoutMs(long sinceFirstByteMs, long bytes) {
         long leftMs = WHOLE_MS + extraMs + bytes / LEAST_BYTES_A_MS - sinceFirstByteMs;
         return Math.max(0, Math.min(STOP_MS + extraMs, leftMs));
     }
 
     /** Records that a call timed out; from the second in a row on, timeouts grow. */
-    void silent() {
+    void callTimedOut() {
         if (++silences > 1) {
             extraMs = Math.min(MOST_EXTRA_MS, Math.max(CATCH_UP_MS, 2 * extraMs));
         }
     }
 
     /** Records that a call was answered; quick answers shrink grown timeouts step by step. */
-    void answered(long tookMs) {
+    void callAnswered(long tookMs) {
         silences = 0;
         if (2 * tookMs < extraMs) {
             extraMs = extraMs / 2 < CATCH_UP_WAIT_MS ? 0 : extraMs / 2;
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -165,7 +165,7 @@
         this.requests = new PendingRequests(clock);
         this.loop = loop;
         this.pool = pool;
-        this.probes = new HealthProbes(clock, loop, pool, config.loadReports());
+        this.probes = new HealthProbes(clock, loop, pool, config.hasLoadReports());
         this.seed = config.seed();
         this.newest = new Deciding();
         modules.add(newest);
@@ -421,7 +421,7 @@
             ListKind applied = kind == ListKind.REMEMBERED ? kind : ListKind.CHANGES;
             List<Listing.Entry> differing = kind == ListKind.WHOLE ? difference(entries) : entries;
             List<Server> moved = new ArrayList<>();
-            List<Server> servers = new ArrayList<>(starts.place(now, kind,
+            List<Server> servers = new ArrayList<>(starts.toLocalClock(now, kind,
                     differing.stream().map(Listing.Entry::server).toList(), currentUs, moved));
             List<String> gone = new ArrayList<>();
             for (int i = 0; i < differing.size(); i++) {
@@ -470,7 +470,7 @@
         }
         backends.forEach((id, b) -> {
             if (!named.contains(id)) {
-                differing.add(b.told.gone());
+                differing.add(b.told.asGone());
             }
         });
         return differing;
--- a/src/main/java/larkworks/proxy/ListFreshness.java
+++ b/src/main/java/larkworks/proxy/ListFreshness.java
@@ -35,7 +35,7 @@
     }
 
     /** Records a failed call to discovery. */
-    void failed(long nowUs, String why) {
+    void callFailed(long nowUs, String why) {
         failures++;
         if (state == State.FRESH) {
             behindSinceUs = nowUs;
@@ -46,7 +46,7 @@
     }
 
     /** Records an answered call to discovery. */
-    void answered(long nowUs) {
+    void callAnswered(long nowUs) {
         if (state != State.FRESH) {
             become(State.FRESH, nowUs, "answered");
         }
--- a/src/main/java/larkworks/proxy/Listing.java
+++ b/src/main/java/larkworks/proxy/Listing.java
@@ -11,23 +11,23 @@
  * A list of backends as received from discovery or read from the configuration.
  *
  * @param index version of the list
- * @param whole whether it is a full list; false if it contains only changes
+ * @param isFull whether it is a full list; false if it contains only changes
  * @param entries its backends
  */
-record Listing(long index, boolean whole, List<Entry> entries) {
+record Listing(long index, boolean isFull, List<Entry> entries) {
 
     /** A backend: its description for the decision module, and its address, null if it is gone. */
     record Entry(Server server, InetSocketAddress address) {
 
         /** Returns an entry for the same backend with status {@code GONE}. */
-        Entry gone() {
+        Entry asGone() {
             return new Entry(new Server(server.id(), server.startedAtUs(), server.zone(), server.group(),
                     server.size(), ServerStatus.GONE), null);
         }
     }
 
     /** Builds an entry from the JSON fields of a backend, given one by one; unknown fields are ignored. */
-    static final class Line {
+    static final class EntryBuilder {
         private final List<String> zones;
         private Object name;
         private Object address;
@@ -37,12 +37,12 @@
         private Object weight;
         private Object since;
 
-        Line(List<String> zones) {
+        EntryBuilder(List<String> zones) {
             this.zones = zones;
         }
 
         /** Sets a field, whose value is a string, a number, a boolean or null. */
-        void put(String field, Object value) {
+        void set(String field, Object value) {
             switch (field) {
                 case "name" -> name = value;
                 case "address" -> address = value;
@@ -60,7 +60,7 @@
          *
          * @throws IllegalArgumentException if a required field is missing or invalid
          */
-        Entry entry() {
+        Entry build() {
             if (!(name instanceof String id)) {
                 throw new IllegalArgumentException("endpoint without a name: a string is wanted, not '"
                         + name + "'");
@@ -88,20 +88,20 @@
      */
     static Listing of(Map<?, ?> json, List<String> zones) {
         if (!(json.get("index") instanceof Number index)
-                || !(json.get("snapshot") instanceof Boolean whole)
+                || !(json.get("snapshot") instanceof Boolean isFull)
                 || !(json.get("endpoints") instanceof List<?> endpoints)) {
             throw new IllegalArgumentException("a number 'index', a boolean 'snapshot' and a list 'endpoints'"
                     + " are wanted");
         }
         List<Entry> entries = new ArrayList<>(endpoints.size());
         for (Object endpoint : endpoints) {
-            Line line = new Line(zones);
+            EntryBuilder line = new EntryBuilder(zones);
             if (endpoint instanceof Map<?, ?> fields) {
-                fields.forEach((field, value) -> line.put(String.valueOf(field), value));
+                fields.forEach((field, value) -> line.set(String.valueOf(field), value));
             }
-            entries.add(line.entry());
+            entries.add(line.build());
         }
-        return new Listing(index.longValue(), whole, entries);
+        return new Listing(index.longValue(), isFull, entries);
     }
 
     private static long whole(Object value) {
--- a/src/main/java/larkworks/proxy/ListingReader.java
+++ b/src/main/java/larkworks/proxy/ListingReader.java
@@ -17,10 +17,10 @@
 final class ListingReader {
 
     /** Maximum backends in a list, more than any deployment has; a longer list is rejected. */
-    static final int MOST_BACKENDS = 10_000;
+    static final int MAX_BACKENDS = 10_000;
     /** Maximum average size of a backend's JSON; real ones are far smaller, however they are indented. */
     private static final int MOST_LINE_BYTES = 2_048;
-    private static final long MOST_BYTES = (long) MOST_BACKENDS * MOST_LINE_BYTES;
+    private static final long MOST_BYTES = (long) MAX_BACKENDS * MOST_LINE_BYTES;
     /** Nesting depths of the JSON document, of the array of backends in it, and of a backend in that. */
     private static final int DOCUMENT = 1;
     private static final int LIST = 2;
@@ -29,10 +29,10 @@
     private static final JsonFactory FACTORY = new JsonFactory();
 
     /** Thrown if the text is not a valid list of backends. */
-    static final class Unreadable extends Exception {
+    static final class InvalidListException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Unreadable(String why, Throwable cause) {
+        InvalidListException(String why, Throwable cause) {
             super(why, cause);
         }
     }
@@ -48,7 +48,7 @@
     private boolean listed;
     private Long index;
     private Boolean whole;
-    private Listing.Line line;
+    private Listing.EntryBuilder line;
 
     /** Creates a reader of one list; {@code zones} are names of zones, a zone's position being its number. */
     ListingReader(List<String> zones) {
@@ -66,10 +66,10 @@
      *
      * @throws Unreadable if the text so far can't be the start of a valid list
      */
-    void read(ByteBuf part) throws Unreadable {
+    void read(ByteBuf part) throws InvalidListException {
         bytes += part.readableBytes();
         if (bytes > MOST_BYTES) {
-            throw new Unreadable("list of more than " + MOST_BYTES + " bytes", null);
+            throw new InvalidListException("list of more than " + MOST_BYTES + " bytes", null);
         }
         if (!part.isReadable()) {
             return;
@@ -79,7 +79,7 @@
             feeder.feedInput(text, 0, text.length);
             readTokens();
         } catch (IOException | IllegalArgumentException e) {
-            throw new Unreadable(e.getMessage(), e);
+            throw new InvalidListException(e.getMessage(), e);
         }
     }
 
@@ -88,16 +88,16 @@
      *
      * @throws Unreadable if the text is truncated or not a valid list
      */
-    Listing end() throws Unreadable {
+    Listing finish() throws InvalidListException {
         try {
             feeder.endOfInput();
             readTokens();
         } catch (IOException | IllegalArgumentException e) {
-            throw new Unreadable(e.getMessage(), e);
+            throw new InvalidListException(e.getMessage(), e);
         }
         if (!ended || index == null || whole == null || !listed) {
-            throw new Unreadable("truncated, or without a number 'index', a boolean 'snapshot' or a list"
-                    + " 'endpoints'", null);
+            throw new InvalidListException("truncated, or without a number 'index', a boolean 'snapshot' or a"
+                    + " list 'endpoints'", null);
         }
         return new Listing(index, whole, entries);
     }
@@ -130,7 +130,7 @@
             inList = true;
             listed = true;
         } else if (depth == LINE && inList && token == JsonToken.START_OBJECT) {
-            line = new Listing.Line(zones);
+            line = new Listing.EntryBuilder(zones);
         } else if (depth == LINE && inList) {
             throw new IllegalArgumentException("endpoints: a list of JSON objects is wanted, found " + token);
         }
@@ -138,10 +138,10 @@
 
     private void end(JsonToken token) {
         if (depth == LINE && line != null && token == JsonToken.END_OBJECT) {
-            if (entries.size() == MOST_BACKENDS) {
-                throw new IllegalArgumentException("list of more than " + MOST_BACKENDS + " backends");
+            if (entries.size() == MAX_BACKENDS) {
+                throw new IllegalArgumentException("list of more than " + MAX_BACKENDS + " backends");
             }
-            entries.add(line.entry());
+            entries.add(line.build());
             line = null;
         } else if (depth == LIST) {
             inList = false;
@@ -154,7 +154,7 @@
         } else if (depth == DOCUMENT && token.isBoolean() && "snapshot".equals(parser.currentName())) {
             whole = parser.getBooleanValue();
         } else if (depth == LINE && line != null) {
-            line.put(parser.currentName(), scalar(token));
+            line.set(parser.currentName(), scalar(token));
         } else if (depth == LIST && inList) {
             throw new IllegalArgumentException("endpoints: a list of JSON objects is wanted, found " + token);
         }
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -91,14 +91,15 @@
     /** Null if metrics are off. */
     private final Meters meters;
     /** Null if this proxy does not take part in rollouts. */
-    private Adoption adoption;
+    private RolloutClient adoption;
     private final Promise<InetSocketAddress> serving = loop.newPromise();
 
     Main(Config config) {
         this.config = config;
-        sockets = new Sockets(config.sockets(), config.admin() == null ? 0 : Admin.MOST_CONNECTIONS + 1);
+        sockets = new Sockets(config.sockets(),
+                config.adminAddress() == null ? 0 : AdminServer.MAX_CONNECTIONS + 1);
         BackendPool pool = new BackendPool(loop, sockets, config.connectTimeoutUs(), config.keepAliveUs());
-        meters = config.metrics() ? new Meters(config.settings().classes()) : null;
+        meters = config.metricsEnabled() ? new Meters(config.settings().classes()) : null;
         driver = new Driver(config, new Clock(), loop, pool, meters);
         frontend = new Frontend(config, loop, sockets, driver, polls);
         discovery = new Discovery(config, loop, sockets, driver);
@@ -125,14 +126,14 @@
         Config config = Config.read(file, System.getenv(), flags);
         Logs.start(config.logs(), config.name().isEmpty() ? Map.of() : Map.of("node", config.name()));
         Main main = new Main(config);
-        HangUp.handle(() -> main.reload(file, flags));
+        SighupHandler.install(() -> main.reload(file, flags));
         if (config.rolloutReportMs() > 0) {
-            main.adoption = new Adoption(config, main.loop, main.driver,
+            main.adoption = new RolloutClient(config, main.loop, main.driver,
                     patch -> Config.read(file, System.getenv(), flags, patch).settings());
         }
         // Registered before the proxy listens, so that requests are finished however early SIGTERM comes.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            main.finish();
+            main.drainAndWait();
             Logs.stop();
         }));
         main.start();
@@ -177,13 +178,13 @@
      * can serve.
      */
     void start() throws Unusable, InterruptedException {
-        boolean shared = config.admin() != null;
+        boolean shared = config.adminAddress() != null;
         long listByNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LIST_WAIT_MS);
         maintenance = shared ? new Maintenance(config, loop, driver, sockets) : null;
         loop.submit(() -> {
             polls.start(loop);
             driver.listChanged(ListKind.REMEMBERED,
-                    config.known() == null ? List.of() : config.known().entries(),
+                    config.knownList() == null ? List.of() : config.knownList().entries(),
                     driver.clock().nowUs(), Long.MIN_VALUE);
             if (shared) {
                 maintenance.start();
@@ -194,8 +195,8 @@
             }
         }).sync();
         if (shared) {
-            Admin operators = new Admin(loop, frontend::serves, maintenance, tables(), meters);
-            admin = listen(() -> operators.listen(config.admin()), config.admin());
+            AdminServer operators = new AdminServer(loop, frontend::serves, maintenance, tables(), meters);
+            admin = listen(() -> operators.listen(config.adminAddress()), config.adminAddress());
         }
         // Warm-up at the shared address could reach the other process and, through it, its backends.
         InetSocketAddress first = shared ? new InetSocketAddress(config.listen().getAddress(), 0)
@@ -210,8 +211,9 @@
                 serving.trySuccess(self);
                 // Changes at discovery may count as delivered from the start, so the first call must have
                 // ended.
-                discovery.whenSettled(this::ready);
-                loop.schedule(discovery::settle, listByNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
+                discovery.onFirstCallEnded(this::ready);
+                loop.schedule(discovery::markFirstCallEnded, listByNanos - System.nanoTime(),
+                        TimeUnit.NANOSECONDS);
             }
         }));
     }
@@ -276,7 +278,7 @@
             // SIGTERM arrived during the start; another process serves at the address or soon will.
             return;
         }
-        boolean waited = discovery.heard() || System.nanoTime() - untilNanos > 0;
+        boolean waited = discovery.hasReceivedList() || System.nanoTime() - untilNanos > 0;
         if (!waited || !driver.canServe()) {
             loop.schedule(() -> serveOnceListed(untilNanos), LIST_LOOK_MS, TimeUnit.MILLISECONDS);
             return;
@@ -310,7 +312,7 @@
                 LOG.atWarn().addKeyValue("keys", keys)
                         .log("changes of these keys need a restart and were not applied");
             }
-            loop.execute(() -> discovery.moveTo(next.discovery()));
+            loop.execute(() -> discovery.switchTo(next.discovery()));
         } catch (Unusable e) {
             LOG.atError().addKeyValue("why", e.getMessage()).log("the old configuration is kept");
         }
@@ -319,17 +321,18 @@
     /**
      * Requests and resources of clients at one moment, and violated invariants since the start.
      *
-     * @param requests whether any request has not ended
-     * @param overdue requests whose clients wait for an answer past the deadline
+     * @param hasRequests whether any request has not ended
+     * @param requestsPastDeadline requests whose clients wait for an answer past the deadline
      * @param bodyBytes buffered bytes of request bodies
      * @param connections open connections of clients
      * @param violations violations of invariants
      */
-    record Held(boolean requests, int overdue, int bodyBytes, int connections, long violations) { }
+    record ClientUsage(boolean hasRequests, int requestsPastDeadline, int bodyBytes, int connections,
+            long violations) { }
 
     /** Returns the requests and resources of clients now; to be called on the loop. */
-    Held held() {
-        return new Held(!driver.isIdle(), driver.overdue().size(), frontend.heldBytes(),
+    ClientUsage clientUsage() {
+        return new ClientUsage(!driver.isIdle(), driver.overdue().size(), frontend.heldBytes(),
                 frontend.connections(), driver.invariants().count());
     }
 
@@ -358,7 +361,7 @@
      * this as a shutdown hook, waits before it exits. Requests left at its end would be lost, so it takes as
      * long as they need: SIGKILL may come later than its earliest time.
      */
-    void finish() {
+    void drainAndWait() {
         // Read here and not on the loop, which may be busy and run the task late.
         long toldUs = driver.clock().nowUs();
         loop.execute(() -> {
@@ -409,7 +412,7 @@
         }
         if (late || driver.isIdle() && frontend.isEmpty()) {
             driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.heldBytes() == 0,
-                    Invariants.Rule.NOTHING_LEFT, "", () -> held().toString());
+                    Invariants.Rule.NOTHING_LEFT, "", () -> clientUsage().toString());
             finished.countDown();
         } else {
             loop.schedule(this::endWhenIdle, END_LOOK_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/larkworks/proxy/Maintenance.java
+++ b/src/main/java/larkworks/proxy/Maintenance.java
@@ -20,7 +20,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
     /** The outcome of an operator's command. */
-    enum Result { DONE, UNKNOWN, NOT_KEPT }
+    enum Result { DONE, UNKNOWN_BACKEND, NOT_STORED }
 
     /** Checks of the folder within the grace of a drain; a check is cheap. */
     private static final int LOOKS_IN_GRACE = 5;
@@ -34,9 +34,9 @@
     /** Folder that outlives this process; null if none is given: commands then end with the process. */
     private final Path state;
     /** Null until the folder can be opened: a disk that fails for a while must not prevent the start. */
-    private Absences kept;
+    private MaintenanceStore kept;
     /** Null until the folder can be opened. */
-    private Presence presence;
+    private ProcessLock presence;
     private boolean failing;
 
     Maintenance(Config config, EventLoop loop, Driver driver, Sockets sockets) {
@@ -45,14 +45,14 @@
         this.sockets = sockets;
         this.pauseUs = Math.max(LEAST_PAUSE_US, config.settings().rules().drainGraceUs() / LOOKS_IN_GRACE);
         this.listen = config.listen();
-        this.state = config.state();
+        this.state = config.stateFolder();
     }
 
     private void open() throws IOException {
         if (kept == null) {
             Path folder = folder(state, listen);
-            presence = new Presence(folder);
-            kept = new Absences(folder);
+            presence = new ProcessLock(folder);
+            kept = new MaintenanceStore(folder);
         }
     }
 
@@ -81,8 +81,8 @@
     private void look() {
         try {
             open();
-            sockets.share(presence.accompanied());
-            Set<String> told = kept.read();
+            sockets.share(presence.isOtherProcessAlive());
+            Set<String> told = kept.backends();
             told.forEach(backend -> driver.maintenance(backend, true));
             for (String backend : driver.out()) {
                 if (!told.contains(backend)) {
@@ -100,9 +100,9 @@
     }
 
     /** Puts a backend in maintenance, or lets it serve again. */
-    Result call(String backend, boolean leave) {
+    Result setMaintenance(String backend, boolean leave) {
         if (!driver.knows(backend)) {
-            return Result.UNKNOWN;
+            return Result.UNKNOWN_BACKEND;
         }
         try {
             if (state != null) {
@@ -116,7 +116,7 @@
         } catch (IOException e) {
             LOG.atError().addKeyValue("backend", backend).setCause(e)
                     .log("can't store an operator's command about a backend; it was not applied");
-            return Result.NOT_KEPT;
+            return Result.NOT_STORED;
         }
         driver.maintenance(backend, leave);
         return Result.DONE;
--- a/src/main/java/larkworks/proxy/Absences.java
+++ b/src/main/java/larkworks/proxy/MaintenanceStore.java
@@ -14,13 +14,13 @@
  * named after the backend's Base64-encoded id. Two live processes share the folder; with a file per backend
  * neither overwrites what the other stored.
  */
-final class Absences {
+final class MaintenanceStore {
 
     private static final String PREFIX = "out-";
 
     private final Path folder;
 
-    Absences(Path folder) {
+    MaintenanceStore(Path folder) {
         this.folder = folder;
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** Returns the ids of all backends in maintenance. */
-    Set<String> read() throws IOException {
+    Set<String> backends() throws IOException {
         Set<String> backends = new HashSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
             for (Path file : files) {
--- a/src/main/java/larkworks/proxy/Presence.java
+++ b/src/main/java/larkworks/proxy/ProcessLock.java
@@ -14,7 +14,7 @@
  * Shows whether another process of this proxy is alive: each process locks a file of its own in a folder that
  * they share. The system releases the lock when the process ends, however it ends.
  */
-final class Presence {
+final class ProcessLock {
 
     private static final String PREFIX = "alive-";
 
@@ -23,7 +23,7 @@
     /** Open as long as the process is alive; closing it would release the lock. */
     private final FileChannel channel;
 
-    Presence(Path folder) throws IOException {
+    ProcessLock(Path folder) throws IOException {
         this.folder = folder;
         own = Files.createTempFile(folder, PREFIX, "");
         channel = FileChannel.open(own, StandardOpenOption.WRITE);
@@ -31,7 +31,7 @@
     }
 
     /** Returns whether another process is alive, and removes files of processes that have ended. */
-    boolean accompanied() throws IOException {
+    boolean isOtherProcessAlive() throws IOException {
         boolean others = false;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
             for (Path file : files) {
--- a/src/main/java/larkworks/proxy/Adoption.java
+++ b/src/main/java/larkworks/proxy/RolloutClient.java
@@ -44,7 +44,7 @@
  * how requests fare with it, and applies the version that the answer names. While the list service can't be
  * reached, the proxy keeps its present version.
  */
-final class Adoption {
+final class RolloutClient {
 
     private static final Logger LOG = LoggerFactory.getLogger("rollout");
     private static final ObjectMapper JSON = JsonMapper.builder()
@@ -54,7 +54,7 @@
     private static final long PATIENCE_MS = 2_000;
 
     /** Reads the settings from the configuration file with a merge patch applied to it. */
-    interface Reader {
+    interface SettingsReader {
         Settings settings(JsonNode patch) throws Unusable;
     }
 
@@ -63,7 +63,7 @@
     private final String name;
     private final List<InetSocketAddress> addresses;
     private final long everyMs;
-    private final Reader reader;
+    private final SettingsReader reader;
     private final Settings first;
     private int at;
     /** The version that this proxy runs; 0 for the configuration file without a patch. */
@@ -73,7 +73,7 @@
     private Future<?> next;
     private boolean closed;
 
-    Adoption(Config config, EventLoop loop, Driver driver, Reader reader) {
+    RolloutClient(Config config, EventLoop loop, Driver driver, SettingsReader reader) {
         this.loop = loop;
         this.driver = driver;
         this.name = config.name();
--- a/src/main/java/larkworks/proxy/HangUp.java
+++ b/src/main/java/larkworks/proxy/SighupHandler.java
@@ -7,17 +7,17 @@
  * {@code sun.misc.Signal} for this. The compiler warns at each mention of that class, so it is used by
  * reflection.
  */
-final class HangUp {
+final class SighupHandler {
 
-    private HangUp() { }
+    private SighupHandler() { }
 
     /** Runs the action at each SIGHUP from now on, on one of the JVM's own threads. */
-    static void handle(Runnable action) {
+    static void install(Runnable action) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handling = Proxy.newProxyInstance(HangUp.class.getClassLoader(), new Class<?>[] {handler},
-                    (self, method, arguments) -> {
+            Object handling = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(),
+                    new Class<?>[] {handler}, (self, method, arguments) -> {
                         action.run();
                         return null;
                     });
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -57,7 +57,8 @@
      * @param moved receives servers of earlier lists whose start time turns out later than assumed, by a
      *     clock offset that these servers reveal
      */
-    List<Server> place(long nowUs, ListKind kind, List<Server> lines, long currentUs, List<Server> moved) {
+    List<Server> toLocalClock(long nowUs, ListKind kind, List<Server> lines, long currentUs,
+            List<Server> moved) {
         long before = offsetUs;
         for (Server line : lines) {
             Start known = starts.get(line.id());
--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -99,7 +99,7 @@
         Main main = new Main(Config.read(file.toString(), bench.environment, Map.of()));
         main.start();
         // Behind the warm-up's beginning in the loop's queue, and before its end, which takes some turns.
-        CompletableFuture<Void> ended = CompletableFuture.runAsync(main::finish);
+        CompletableFuture<Void> ended = CompletableFuture.runAsync(main::drainAndWait);
         int found = 0;
         while (!ended.isDone()) {
             try {
--- a/src/test/java/larkworks/proxy/Bench.java
+++ b/src/test/java/larkworks/proxy/Bench.java
@@ -174,8 +174,8 @@
         if (proxy.loop().isShuttingDown()) {
             return;
         }
-        Main.Held held = proxy.loop().submit(proxy::held).syncUninterruptibly().getNow();
-        if (held.overdue() > 0) {
+        Main.ClientUsage held = proxy.loop().submit(proxy::clientUsage).syncUninterruptibly().getNow();
+        if (held.requestsPastDeadline() > 0) {
             throw new AssertionError("requests without an answer past their deadline: " + held);
         }
         if (held.violations() > 0) {
@@ -186,7 +186,7 @@
     /** Tells the proxy to end, as SIGTERM does; done once it has finished what it took. */
     CompletableFuture<Void> end() throws Exception {
         Main ending = main;
-        CompletableFuture<Void> ended = CompletableFuture.runAsync(ending::finish);
+        CompletableFuture<Void> ended = CompletableFuture.runAsync(ending::drainAndWait);
         Client probe = client();
         while (!"close".equals(probe.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer()
                 .header("Connection"))) {
@@ -221,7 +221,7 @@
     /** Starts the proxy and tells it to end before it has warmed up. */
     CompletableFuture<Void> startAndEnd(Path folder) throws Exception {
         begin(folder, all(1));
-        return CompletableFuture.runAsync(main::finish);
+        return CompletableFuture.runAsync(main::drainAndWait);
     }
 
     private void begin(Path folder, String known) throws Exception {
@@ -300,7 +300,7 @@
 
     /** Whether the proxy holds a request, its answer or an attempt of it. */
     boolean holdsRequests() throws Exception {
-        return main.loop().submit(main::held).get().requests();
+        return main.loop().submit(main::clientUsage).get().hasRequests();
     }
 
     /** Returns once the proxy has read all that came to it before, and acted on it. */
@@ -332,12 +332,12 @@
      */
     void awaitGone(int left) throws Exception {
         long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
-        Main.Held now = main.loop().submit(main::held).get();
-        while (now.requests() || now.bodyBytes() > 0 || now.connections() > clients.size() - left) {
+        Main.ClientUsage now = main.loop().submit(main::clientUsage).get();
+        while (now.hasRequests() || now.bodyBytes() > 0 || now.connections() > clients.size() - left) {
             if (System.nanoTime() > until) {
                 throw new AssertionError("still held: " + now + " with " + clients.size() + " clients");
             }
-            now = main.loop().submit(main::held).get();
+            now = main.loop().submit(main::clientUsage).get();
         }
     }
 
--- a/src/test/java/larkworks/proxy/ConfigFileTest.java
+++ b/src/test/java/larkworks/proxy/ConfigFileTest.java
@@ -73,7 +73,7 @@
     void readsTomlWithFlagsBeforeTheEnvironmentBeforeTheFile() throws Exception {
         Config config = read(GOOD, Map.of("GW_ADMIN_ADDR", "127.0.0.1:7", "GW_LISTEN", "127.0.0.1:8"),
                 Map.of("discovery", "127.0.0.1:9"));
-        assertEquals(7, config.admin().getPort());
+        assertEquals(7, config.adminAddress().getPort());
         assertEquals(9000, config.listen().getPort(), "GW_LISTEN fills in only what is left out");
         assertEquals(List.of(9), config.discovery().stream().map(a -> a.getPort()).toList());
         assertEquals(250_000, config.fleet().settings().probeIntervalUs());
--- a/src/test/java/larkworks/proxy/CrowdTest.java
+++ b/src/test/java/larkworks/proxy/CrowdTest.java
@@ -127,13 +127,13 @@
 
     @Test
     void aProcessIsSeenAsLongAsItLives() throws Exception {
-        Presence one = new Presence(folder);
-        assertFalse(one.accompanied());
-        Presence two = new Presence(folder);
-        assertTrue(one.accompanied());
-        assertTrue(two.accompanied());
+        ProcessLock one = new ProcessLock(folder);
+        assertFalse(one.isOtherProcessAlive());
+        ProcessLock two = new ProcessLock(folder);
+        assertTrue(one.isOtherProcessAlive());
+        assertTrue(two.isOtherProcessAlive());
         two.close();
-        assertFalse(one.accompanied());
+        assertFalse(one.isOtherProcessAlive());
         one.close();
     }
 }
--- a/src/test/java/larkworks/proxy/DiscoveryWaitsTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryWaitsTest.java
@@ -14,34 +14,34 @@
     @Test
     void noticesTheFirstSilenceWithinTheTimeAfterWhichChangesCountAsTold() {
         DiscoveryWaits waits = new DiscoveryWaits();
-        assertTrue(waits.firstByteMs(Purpose.WATCH, false) < TOLD_MS);
-        waits.silent();
-        assertTrue(waits.firstByteMs(Purpose.CATCH_UP, false) < TOLD_MS);
+        assertTrue(waits.firstByteTimeoutMs(Purpose.WATCH, false) < TOLD_MS);
+        waits.callTimedOut();
+        assertTrue(waits.firstByteTimeoutMs(Purpose.CATCH_UP, false) < TOLD_MS);
     }
 
     @Test
     void givesASlowDiscoveryEverMoreTimeAndTakesItBackWhenItIsQuick() {
         DiscoveryWaits waits = new DiscoveryWaits();
-        long before = waits.firstByteMs(Purpose.CATCH_UP, true);
-        waits.silent();
-        assertEquals(before, waits.firstByteMs(Purpose.CATCH_UP, true));
+        long before = waits.firstByteTimeoutMs(Purpose.CATCH_UP, true);
+        waits.callTimedOut();
+        assertEquals(before, waits.firstByteTimeoutMs(Purpose.CATCH_UP, true));
         for (int i = 0; i < 3; i++) {
-            waits.silent();
-            assertTrue(waits.firstByteMs(Purpose.CATCH_UP, true) >= 2 * before - 1);
+            waits.callTimedOut();
+            assertTrue(waits.firstByteTimeoutMs(Purpose.CATCH_UP, true) >= 2 * before - 1);
         }
-        long patient = waits.firstByteMs(Purpose.WATCH, false);
-        waits.answered(patient);
-        assertEquals(patient, waits.firstByteMs(Purpose.WATCH, false), "an answer took as long");
+        long patient = waits.firstByteTimeoutMs(Purpose.WATCH, false);
+        waits.callAnswered(patient);
+        assertEquals(patient, waits.firstByteTimeoutMs(Purpose.WATCH, false), "an answer took as long");
         for (int i = 0; i < 10; i++) {
-            waits.answered(1);
+            waits.callAnswered(1);
         }
-        assertEquals(before, waits.firstByteMs(Purpose.CATCH_UP, true));
+        assertEquals(before, waits.firstByteTimeoutMs(Purpose.CATCH_UP, true));
     }
 
     @Test
     void waitsForALargeAnswerThatGoesOnAndNotForOneThatDrips() {
         DiscoveryWaits waits = new DiscoveryWaits();
-        assertTrue(waits.nextByteMs(10_000, 500_000) > 0);
-        assertEquals(0, waits.nextByteMs(10_000, 25));
+        assertTrue(waits.nextBytesTimeoutMs(10_000, 500_000) > 0);
+        assertEquals(0, waits.nextBytesTimeoutMs(10_000, 25));
     }
 }
--- a/src/test/java/larkworks/proxy/ListingReaderTest.java
+++ b/src/test/java/larkworks/proxy/ListingReaderTest.java
@@ -25,13 +25,13 @@
             + "\"status\":\"terminating\",\"weight\":null,\"since_ms\":0},"
             + "{\"name\":\"s-3\",\"status\":\"terminated\"}]}";
 
-    private static Listing read(String text, int part) throws ListingReader.Unreadable {
+    private static Listing read(String text, int part) throws ListingReader.InvalidListException {
         ListingReader reader = new ListingReader(ZONES);
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         for (int from = 0; from < bytes.length; from += part) {
             reader.read(Unpooled.wrappedBuffer(bytes, from, Math.min(part, bytes.length - from)));
         }
-        return reader.end();
+        return reader.finish();
     }
 
     @ParameterizedTest
@@ -52,7 +52,7 @@
         "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"status\":\"terminated\"}]}",
         "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"s\",\"status\":\"in_service\"}]}"})
     void refusesWhatIsNoList(String text) {
-        assertThrows(ListingReader.Unreadable.class, () -> read(text, 9));
+        assertThrows(ListingReader.InvalidListException.class, () -> read(text, 9));
     }
 
     /** Over 1 MiB of text; no bound is on bytes that follows from fewer servers than may be listed. */
--- a/src/test/java/larkworks/proxy/StartTimesTest.java
+++ b/src/test/java/larkworks/proxy/StartTimesTest.java
@@ -25,7 +25,7 @@
     }
 
     private long placed(long nowUs, ListKind kind, long currentUs, Server line) {
-        return starts.place(nowUs, kind, List.of(line), currentUs, moved).get(0).startedAtUs();
+        return starts.toLocalClock(nowUs, kind, List.of(line), currentUs, moved).get(0).startedAtUs();
     }
 
     @Test
