--- a/src/main/java/larkworks/proxy/AdminServer.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -44,31 +44,31 @@
     private static final String METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
     /** Maximum connections at a time; beyond it the one is closed that has sent nothing for longest. */
     static final int MAX_CONNECTIONS = 16;
-    private static final int MOST_BODY = 4096;
+    private static final int MAX_BODY_BYTES = 4096;
     /** Connections are closed after this time, even if no complete request has arrived. */
-    private static final long PATIENCE_MS = 2_500;
+    private static final long CONNECTION_TIMEOUT_MS = 2_500;
     /** Time for the operator to read an answer before the connection is closed. */
-    private static final long LINGER_MS = 500;
+    private static final long LINGER_TIMEOUT_MS = 500;
 
     private final EventLoop loop;
-    private final BooleanSupplier ready;
+    private final BooleanSupplier isReady;
     private final Maintenance maintenance;
     /** Suppliers of JSON tables, by the path that they are served at. */
-    private final Map<String, Supplier<String>> tables;
+    private final Map<String, Supplier<String>> jsonTables;
     /** Null if metrics are off. */
     private final Meters meters;
     /** Open connections, the one that has sent nothing for longest first. */
-    private final Set<Channel> open = new LinkedHashSet<>();
-    private final LingeringClose lingering;
+    private final Set<Channel> connections = new LinkedHashSet<>();
+    private final LingeringClose lingeringClose;
 
-    AdminServer(EventLoop loop, BooleanSupplier ready, Maintenance maintenance,
-            Map<String, Supplier<String>> tables, Meters meters) {
+    AdminServer(EventLoop loop, BooleanSupplier isReady, Maintenance maintenance,
+            Map<String, Supplier<String>> jsonTables, Meters meters) {
         this.meters = meters;
         this.loop = loop;
-        this.lingering = new LingeringClose(loop, LINGER_MS);
-        this.ready = ready;
+        this.lingeringClose = new LingeringClose(loop, LINGER_TIMEOUT_MS);
+        this.isReady = isReady;
         this.maintenance = maintenance;
-        this.tables = tables;
+        this.jsonTables = jsonTables;
     }
 
     ChannelFuture listen(SocketAddress address) {
@@ -82,19 +82,19 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        opened(channel);
+                        connectionOpened(channel);
                         channel.pipeline().addLast(new HttpServerCodec(),
-                                new Aggregator(), new Calls());
+                                new BodyAggregator(), new RequestHandler());
                     }
                 }).bind(address);
     }
 
-    private void opened(Channel channel) {
-        open.add(channel);
-        channel.closeFuture().addListener(closed -> open.remove(channel));
-        loop.schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
-        if (open.size() > MAX_CONNECTIONS && !lingering.evict()) {
-            open.iterator().next().close();
+    private void connectionOpened(Channel channel) {
+        connections.add(channel);
+        channel.closeFuture().addListener(closed -> connections.remove(channel));
+        loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        if (connections.size() > MAX_CONNECTIONS && !lingeringClose.evict()) {
+            connections.iterator().next().close();
         }
     }
 
@@ -104,42 +104,42 @@
         }
     }
 
-    private Reply reply(FullHttpRequest call) {
-        if (call.decoderResult().isFailure()) {
+    private Reply replyTo(FullHttpRequest request) {
+        if (request.decoderResult().isFailure()) {
             return new Reply(HttpResponseStatus.BAD_REQUEST, "no HTTP/1.1 call");
         }
-        String path = call.uri();
-        boolean down = path.equals("/ops/backends/down");
-        Supplier<String> table = tables.get(path);
-        boolean asks = table != null || path.equals("/ops/readiness");
-        if (!down && !asks && !path.equals("/ops/backends/up")) {
+        String path = request.uri();
+        boolean toMaintenance = path.equals("/ops/backends/down");
+        Supplier<String> table = jsonTables.get(path);
+        boolean isQuery = table != null || path.equals("/ops/readiness");
+        if (!toMaintenance && !isQuery && !path.equals("/ops/backends/up")) {
             return new Reply(HttpResponseStatus.NOT_FOUND, "no such call");
         }
-        if (!call.method().equals(asks ? HttpMethod.GET : HttpMethod.PUT)) {
-            return new Reply(HttpResponseStatus.METHOD_NOT_ALLOWED, asks ? "GET only" : "PUT only");
+        if (!request.method().equals(isQuery ? HttpMethod.GET : HttpMethod.PUT)) {
+            return new Reply(HttpResponseStatus.METHOD_NOT_ALLOWED, isQuery ? "GET only" : "PUT only");
         }
         if (table != null) {
             return new Reply(HttpResponseStatus.OK, "application/json", table.get());
         }
-        if (asks) {
-            return ready.getAsBoolean() ? new Reply(HttpResponseStatus.OK, "ready")
+        if (isQuery) {
+            return isReady.getAsBoolean() ? new Reply(HttpResponseStatus.OK, "ready")
                     : new Reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
         }
-        return backendCall(call, down);
+        return setMaintenance(request, toMaintenance);
     }
 
-    private Reply backendCall(FullHttpRequest call, boolean down) {
-        Object who;
+    private Reply setMaintenance(FullHttpRequest request, boolean toMaintenance) {
+        Object nameValue;
         try {
-            who = Json.object(ByteBufUtil.getBytes(call.content())).get("who");
+            nameValue = Json.object(ByteBufUtil.getBytes(request.content())).get("who");
         } catch (IOException | RuntimeException e) {
             return new Reply(HttpResponseStatus.BAD_REQUEST, "the body is no JSON object");
         }
-        if (!(who instanceof String backend)) {
+        if (!(nameValue instanceof String backend)) {
             return new Reply(HttpResponseStatus.BAD_REQUEST, "'who' is missing or no string");
         }
-        return switch (maintenance.setMaintenance(backend, down)) {
-            case DONE -> new Reply(HttpResponseStatus.OK, down ? "left out" : "may serve again");
+        return switch (maintenance.setMaintenance(backend, toMaintenance)) {
+            case DONE -> new Reply(HttpResponseStatus.OK, toMaintenance ? "left out" : "may serve again");
             case UNKNOWN_BACKEND -> new Reply(HttpResponseStatus.NOT_FOUND, "no such backend");
             case NOT_STORED -> new Reply(HttpResponseStatus.INTERNAL_SERVER_ERROR, "the call can't be kept");
         };
@@ -158,46 +158,47 @@
      * Collects a request's body and refuses one that is too large; the rest of it is read, as the client
      * might lose the answer otherwise.
      */
-    private final class Aggregator extends HttpObjectAggregator {
+    private final class BodyAggregator extends HttpObjectAggregator {
 
-        Aggregator() {
-            super(MOST_BODY, true);
+        BodyAggregator() {
+            super(MAX_BODY_BYTES, true);
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-            lingering.close(context.channel(), response(
+            lingeringClose.close(context.channel(), response(
                     new Reply(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")));
         }
     }
 
     /** Answers the request of one connection. */
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private boolean answered;
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
             // Moves the connection to the end of the set, which keeps the order of insertion.
-            if (open.remove(context.channel())) {
-                open.add(context.channel());
+            if (connections.remove(context.channel())) {
+                connections.add(context.channel());
             }
             super.channelRead(context, message);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest call) {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (answered) {
                 return;
             }
             answered = true;
-            if (meters != null && call.uri().equals("/metrics") && call.method().equals(HttpMethod.GET)) {
+            if (meters != null && request.uri().equals("/metrics")
+                    && request.method().equals(HttpMethod.GET)) {
                 Channel channel = context.channel();
-                meters.scrape(text -> loop.execute(() -> lingering.close(channel, response(
+                meters.scrape(text -> loop.execute(() -> lingeringClose.close(channel, response(
                         new Reply(HttpResponseStatus.OK, METRICS_TYPE, text)))));
                 return;
             }
-            lingering.close(context.channel(), response(reply(call)));
+            lingeringClose.close(context.channel(), response(replyTo(request)));
         }
 
         @Override
--- a/src/main/java/larkworks/proxy/Config.java
+++ b/src/main/java/larkworks/proxy/Config.java
@@ -78,18 +78,19 @@
             JsonNode patched = Rollouts.patched(json.valueToTree(values), patch);
             values.putAll(json.convertValue(patched, new TypeReference<Map<String, Object>>() { }));
         }
-        Map.of("name", "GW_NAME", "listen", "GW_LISTEN", "discovery", "GW_DISCOVERY").forEach((key, from) -> {
-            if (values.get(key) == null && !environment.getOrDefault(from, "").isBlank()) {
-                values.put(key, environment.get(from));
-            }
-        });
+        Map.of("name", "GW_NAME", "listen", "GW_LISTEN", "discovery", "GW_DISCOVERY").forEach(
+                (key, variable) -> {
+                    if (values.get(key) == null && !environment.getOrDefault(variable, "").isBlank()) {
+                        values.put(key, environment.get(variable));
+                    }
+                });
         String admin = environment.getOrDefault("GW_ADMIN_ADDR", "");
         if (!admin.isBlank()) {
             values.put("admin_addr", admin);
         }
         values.putAll(flags);
         Section top = Section.top(values);
-        Config config = of(top, environment.getOrDefault("TMPDIR", ""));
+        Config config = ofTable(top, environment.getOrDefault("TMPDIR", ""));
         if (ConfigFile.isToml(Path.of(file))) {
             top.refuseUnknown();
         }
@@ -99,7 +100,7 @@
         return config;
     }
 
-    private static Config of(Section top, String state) {
+    private static Config ofTable(Section top, String stateFolder) {
         InetSocketAddress listen = top.address("listen");
         InetSocketAddress admin = top.optionalAddress("admin_addr");
         if (admin != null && admin.equals(listen) && admin.getPort() != 0) {
@@ -108,20 +109,22 @@
         }
         Section limits = top.section("limits");
         limits.allow("cores", "memory_mb");
-        Section params = top.section("settings");
-        Settings settings = settings(top, params.map());
-        List<String> zones = params.map().get("dcs") instanceof List<?> names
+        Section settingsTable = top.section("settings");
+        Settings settings = readSettings(top, settingsTable.map());
+        List<String> zones = settingsTable.map().get("dcs") instanceof List<?> names
                 ? names.stream().map(String::valueOf).toList() : List.of();
-        Section bounds = params.section("limits");
+        Section settingsLimits = settingsTable.section("limits");
         Section metrics = top.optionalSection("metrics");
-        FleetConfig fleet = FleetConfig.ofProxy(top, !Boolean.FALSE.equals(bounds.map().get("peers")));
-        Config config = new Config(top.text("name", ""), listen, top.addresses("discovery", true), seed(top),
-                (int) limits.whole("sockets", null, 1, Integer.MAX_VALUE), settings, zones,
-                bounds.whole("connectTimeoutUs", null, 1, Long.MAX_VALUE),
-                bounds.whole("keepaliveUs", null, 0, Long.MAX_VALUE),
-                params.map().get("loadInfo") instanceof Map<?, ?> info && !"none".equals(info.get("how")),
-                known(top, zones), admin, state.isBlank() ? null : Path.of(state),
-                fleet, shared(top, fleet, settings), rollout(top),
+        FleetConfig fleet = FleetConfig.ofProxy(top,
+                !Boolean.FALSE.equals(settingsLimits.map().get("peers")));
+        Config config = new Config(top.text("name", ""), listen, top.addresses("discovery", true),
+                readSeed(top), (int) limits.whole("sockets", null, 1, Integer.MAX_VALUE), settings, zones,
+                settingsLimits.whole("connectTimeoutUs", null, 1, Long.MAX_VALUE),
+                settingsLimits.whole("keepaliveUs", null, 0, Long.MAX_VALUE),
+                settingsTable.map().get("loadInfo") instanceof Map<?, ?> info
+                        && !"none".equals(info.get("how")),
+                readKnownList(top, zones), admin, stateFolder.isBlank() ? null : Path.of(stateFolder),
+                fleet, readShared(top, fleet, settings), readRolloutReportMs(top),
                 LogSettings.of(top.optionalSection("logs")), metrics.flag("enabled", false));
         if (config.metricsEnabled && admin == null) {
             top.fault("metrics.enabled", "admin_addr is wanted too, as metrics are served at that address");
@@ -129,7 +132,7 @@
         return config;
     }
 
-    private static long rollout(Section top) {
+    private static long readRolloutReportMs(Section top) {
         if (!top.has("rollout")) {
             return 0;
         }
@@ -141,7 +144,7 @@
         return top.section("rollout").whole("report_ms", 1_000L, 50, 60_000);
     }
 
-    private static SharedSettings shared(Section top, FleetConfig fleet, Settings settings) {
+    private static SharedSettings readShared(Section top, FleetConfig fleet, Settings settings) {
         if (!top.has("shared") || settings == null) {
             return null;
         }
@@ -154,7 +157,7 @@
                 settings.classes().stream().map(RequestClass::name).toList());
     }
 
-    private static long seed(Section top) {
+    private static long readSeed(Section top) {
         String text = top.text("seed", null);
         try {
             return text.isEmpty() ? 0 : Long.parseUnsignedLong(text, 16);
@@ -165,9 +168,9 @@
     }
 
     /** Returns the decision module's settings, or null after noting the first fault found in them. */
-    private static Settings settings(Section top, Map<String, Object> params) {
+    private static Settings readSettings(Section top, Map<String, Object> settingsTable) {
         try {
-            Settings settings = SettingsReader.read(params);
+            Settings settings = SettingsReader.read(settingsTable);
             SettingsCheck.check(settings);
             return settings;
         } catch (WireException | IllegalArgumentException e) {
@@ -176,7 +179,7 @@
         }
     }
 
-    private static Listing known(Section top, List<String> zones) {
+    private static Listing readKnownList(Section top, List<String> zones) {
         if (!top.has("known")) {
             return null;
         }
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -43,105 +43,105 @@
 final class Discovery {
 
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
-    private static final String PATH = "/registry/instances";
+    private static final String INSTANCES_PATH = "/registry/instances";
     /** Header by which {@code larkworks.registry} names the epoch of its data; versions compare within it. */
-    private static final String EPOCH = "X-Registry-Epoch";
+    private static final String EPOCH_HEADER = "X-Registry-Epoch";
     /** Header of a registry replica that has had no contact with a leader for too long. */
-    private static final String STALE = "X-Registry-Stale";
+    private static final String STALE_HEADER = "X-Registry-Stale";
     /**
      * Pause after an empty answer that arrived at once, so that proxy and discovery don't poll in a busy
      * loop. Far below 200 ms, after which a watch counts as interrupted.
      */
-    private static final long IDLE_PAUSE_MS = 20;
-    private static final long FIRST_PAUSE_MS = 50;
+    private static final long EMPTY_ANSWER_PAUSE_MS = 20;
+    private static final long MIN_RETRY_PAUSE_MS = 50;
     /** Pause before a connection is retried that failed for lack of a descriptor, port or buffer here. */
-    private static final long LOCAL_PAUSE_MS = 10;
-    private static final int MOST_LOCAL_FAILURES = 10;
+    private static final long LOCAL_FAILURE_PAUSE_MS = 10;
+    private static final int MAX_LOCAL_FAILURES = 10;
     /** Proxies that lose the same discovery address at once spread their fail-over over this time. */
-    private static final long FAIL_OVER_MS = 200;
+    private static final long MAX_FAIL_OVER_DELAY_MS = 200;
     /** Maximum pause between retries; the constructor lowers it where the drain grace is short. */
-    private static final long MOST_PAUSE_MS = 1_000;
+    private static final long MAX_RETRY_PAUSE_MS = 1_000;
     /**
      * With discovery {@code on_request}, a failed call is retried after this time plus a random part of the
      * jitter, unless the decision module asks sooner.
      */
-    private static final long LATEST_ASK_MS = 1_000;
-    private static final long LATEST_ASK_JITTER_MS = 500;
+    private static final long ON_REQUEST_RETRY_MS = 1_000;
+    private static final long ON_REQUEST_RETRY_JITTER_MS = 500;
     /** Reads of an answer per loop iteration: about a hundred backends, so that requests are not delayed. */
-    private static final int READS_IN_TURN = 1;
+    private static final int READS_PER_LOOP_ITERATION = 1;
 
-    /** Addresses of the discovery service. {@code at} is the position of the one in use. */
+    /** Addresses of the discovery service. {@code addressIndex} is the position of the one in use. */
     private List<InetSocketAddress> addresses;
-    private int at;
-    private final SplittableRandom jitter;
-    private final boolean asked;
+    private int addressIndex;
+    private final SplittableRandom random;
+    private final boolean isOnRequest;
     private final List<String> zones;
     private final EventLoop loop;
     private final Sockets sockets;
     private final Driver driver;
     private Channel channel;
-    private Future<?> silence;
+    private Future<?> timeoutTask;
     /** The task that starts the next call after a pause; null before the first pause. */
-    private Future<?> next;
+    private Future<?> nextCallTask;
     /** The version of the list in force; negative if the next call must ask for the full list. */
     private volatile long index;
     /** The registry epoch of the list in force; null if the service sends none. */
     private String epoch;
-    private final long mostPauseMs;
-    private long pauseMs = FIRST_PAUSE_MS;
-    private boolean calling;
+    private final long maxRetryPauseMs;
+    private long retryPauseMs = MIN_RETRY_PAUSE_MS;
+    private boolean callInProgress;
     /** The purpose of the call in progress or, between calls, of the next one. */
     private Purpose purpose = Purpose.FIRST;
     private final DiscoveryWaits waits = new DiscoveryWaits();
     private final ListFreshness freshness = new ListFreshness();
     /** Whether bytes of the answer to the call in progress have arrived, since when, and how many. */
-    private boolean begun;
-    private long begunAt;
+    private boolean answerStarted;
+    private long answerStartedNs;
     private long answerBytes;
-    private long calledAt;
-    private long calledUs;
+    private long callStartedNs;
+    private long callStartedUs;
     /**
      * When the list in force was current: the start time of the call that returned it. Used by
      * {@link StartTimes}.
      */
-    private long currentUs = Long.MIN_VALUE;
+    private long listCurrentUs = Long.MIN_VALUE;
     /**
      * The earliest time, by the driver's clock, at which this proxy may have missed a change. With discovery
      * {@code pushed}, a change counts as delivered once discovery has it, whether or not the proxy asked.
      * {@code Long.MAX_VALUE} if no change can have been missed.
      */
-    private long unsureUs;
+    private long missedSinceUs;
     private boolean closed;
     /** Consecutive failed calls; counted only with several discovery addresses. */
-    private int failedInRow;
+    private int consecutiveFailures;
     /** Consecutive answers without a usable list. */
-    private int refusedInRow;
+    private int consecutiveRefusals;
     /** Consecutive connections that failed for lack of a descriptor, port or buffer on this machine. */
-    private int localFailures;
-    private boolean heard;
+    private int consecutiveLocalFailures;
+    private boolean listReceived;
     /**
      * Whether the first call has succeeded, failed or exceeded the time that the start allows it. True from
      * the start with discovery {@code on_request}, where a list counts as delivered only on arrival.
      */
-    private boolean settled;
-    private Runnable whenSettled = () -> { };
+    private boolean firstCallEnded;
+    private Runnable firstCallEndedAction = () -> { };
 
     Discovery(Config config, EventLoop loop, Sockets sockets, Driver driver) {
         this.addresses = config.discovery();
-        this.jitter = new SplittableRandom(config.seed());
-        this.asked = config.settings().watch();
+        this.random = new SplittableRandom(config.seed());
+        this.isOnRequest = config.settings().watch();
         this.zones = config.zones();
         this.loop = loop;
         this.sockets = sockets;
         this.driver = driver;
-        this.settled = asked;
-        this.index = firstIndex(config);
-        this.unsureUs = asked ? Long.MAX_VALUE : driver.clock().nowUs();
+        this.firstCallEnded = isOnRequest;
+        this.index = initialIndex(config);
+        this.missedSinceUs = isOnRequest ? Long.MAX_VALUE : driver.clock().nowUs();
         // A drain must become known within its grace. The pause with its jitter of a quarter stays within
         // half of the grace.
-        this.mostPauseMs = Math.max(FIRST_PAUSE_MS, Math.min(MOST_PAUSE_MS,
+        this.maxRetryPauseMs = Math.max(MIN_RETRY_PAUSE_MS, Math.min(MAX_RETRY_PAUSE_MS,
                 config.settings().rules().drainGraceUs() / 1000 * 2 / 5));
-        driver.onWatch(this::call);
+        driver.onWatch(this::startCall);
     }
 
     /**
@@ -149,14 +149,15 @@
      * changes since that version: they cost discovery little, whereas the full list costs much with thousands
      * of backends or many proxies starting at once.
      */
-    private static long firstIndex(Config config) {
-        Listing known = config.knownList();
-        return known != null && known.isFull() && !known.entries().isEmpty() ? known.index() : -1;
+    private static long initialIndex(Config config) {
+        Listing knownList = config.knownList();
+        return knownList != null && knownList.isFull() && !knownList.entries().isEmpty()
+                ? knownList.index() : -1;
     }
 
     void start() {
-        if (!asked) {
-            call();
+        if (!isOnRequest) {
+            startCall();
         }
     }
 
@@ -175,13 +176,13 @@
 
     /** Returns whether a list has been received since the start. */
     boolean hasReceivedList() {
-        return heard;
+        return listReceived;
     }
 
     /** Runs the action once: as soon as the first call has ended or counts as ended. */
     void onFirstCallEnded(Runnable action) {
-        whenSettled = action;
-        if (settled) {
+        firstCallEndedAction = action;
+        if (firstCallEnded) {
             markFirstCallEnded();
         }
     }
@@ -190,9 +191,9 @@
      * Counts the first call as ended, even if it is in progress; a list that it returns later still applies.
      */
     void markFirstCallEnded() {
-        settled = true;
-        Runnable action = whenSettled;
-        whenSettled = () -> { };
+        firstCallEnded = true;
+        Runnable action = firstCallEndedAction;
+        firstCallEndedAction = () -> { };
         action.run();
     }
 
@@ -208,74 +209,75 @@
      * the version in force. If the new service numbers its versions differently, it answers with a lower
      * version or refuses the request; the full list is asked for then.
      */
-    void switchTo(List<InetSocketAddress> others) {
-        if (closed || others.equals(addresses)) {
+    void switchTo(List<InetSocketAddress> newAddresses) {
+        if (closed || newAddresses.equals(addresses)) {
             return;
         }
-        addresses = others;
-        at = 0;
+        addresses = newAddresses;
+        addressIndex = 0;
         purpose = Purpose.FIRST;
-        failedInRow = 0;
-        refusedInRow = 0;
-        if (calling) {
-            calling = false;
-            silence.cancel(false);
+        consecutiveFailures = 0;
+        consecutiveRefusals = 0;
+        if (callInProgress) {
+            callInProgress = false;
+            timeoutTask.cancel(false);
         }
-        dropChannel();
-        call();
+        closeChannel();
+        startCall();
     }
 
     /** Makes the next call ask for the full list; the present list stays in force until then. */
-    private void forget() {
+    private void requireFullList() {
         index = -1;
         epoch = null;
     }
 
-    private void dropChannel() {
+    private void closeChannel() {
         if (channel != null) {
-            Channel old = channel;
+            Channel oldChannel = channel;
             channel = null;
-            old.close();
+            oldChannel.close();
         }
     }
 
     /** Starts a call for the full list or, with a list in force, for the changes since its version. */
-    private void call() {
-        if (calling || closed) {
+    private void startCall() {
+        if (callInProgress || closed) {
             return;
         }
-        if (next != null) {
-            next.cancel(false);
+        if (nextCallTask != null) {
+            nextCallTask.cancel(false);
         }
-        calling = true;
-        begun = false;
+        callInProgress = true;
+        answerStarted = false;
         answerBytes = 0;
-        long from = System.nanoTime();
-        calledAt = from;
-        calledUs = driver.clock().nowUs();
-        limit(waits.firstByteTimeoutMs(purpose, index < 0));
+        long startedNs = System.nanoTime();
+        callStartedNs = startedNs;
+        callStartedUs = driver.clock().nowUs();
+        startTimeout(waits.firstByteTimeoutMs(purpose, index < 0));
         if (channel != null && channel.isActive()) {
-            write(channel);
+            sendRequest(channel);
         } else {
-            Bootstrap own = new Bootstrap().group(loop).channel(TcpChannel.class)
+            Bootstrap bootstrap = new Bootstrap().group(loop).channel(TcpChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.RECVBUF_ALLOCATOR,
-                            Sockets.readBuffers().maxMessagesPerRead(READS_IN_TURN))
+                            Sockets.readBuffers().maxMessagesPerRead(READS_PER_LOOP_ITERATION))
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) DiscoveryWaits.FIRST_CALL_TIMEOUT_MS)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            fresh.pipeline().addLast(new ByteWatch(() -> stir(fresh)),
-                                    new HttpRequestEncoder(), new ResponseDecoder(), new Reader());
+                        protected void initChannel(SocketChannel newChannel) {
+                            newChannel.pipeline().addLast(
+                                    new ByteWatch(() -> answerBytesReceived(newChannel)),
+                                    new HttpRequestEncoder(), new ResponseDecoder(), new AnswerReader());
                         }
                     });
-            channel = sockets.connectReserved(own, loop, addresses.get(at), connected -> {
+            channel = sockets.connectReserved(bootstrap, loop, addresses.get(addressIndex), connected -> {
                 if (connected != null && connected.isSuccess()) {
-                    write(connected.channel());
+                    sendRequest(connected.channel());
                 } else if (connected == null || SystemError.of(connected.cause()).isLocal()) {
-                    notConnectedHere(from);
+                    localConnectFailed(startedNs);
                 } else {
-                    lost(connected.channel());
+                    connectionClosed(connected.channel());
                 }
             });
         }
@@ -286,29 +288,29 @@
      * connection, which says nothing about discovery. After too many such failures in a row the call counts
      * as failed. Ignored if another call has started meanwhile, for example because the addresses changed.
      *
-     * @param from the start time of the call that needed the connection
+     * @param startedNs the start time of the call that needed the connection
      */
-    private void notConnectedHere(long from) {
-        if (from != calledAt || !calling || closed) {
+    private void localConnectFailed(long startedNs) {
+        if (startedNs != callStartedNs || !callInProgress || closed) {
             return;
         }
-        if (++localFailures > MOST_LOCAL_FAILURES) {
-            failed("no descriptor, port or buffer on this machine for the connection");
+        if (++consecutiveLocalFailures > MAX_LOCAL_FAILURES) {
+            callFailed("no descriptor, port or buffer on this machine for the connection");
             return;
         }
-        calling = false;
-        silence.cancel(false);
-        dropChannel();
-        callIn(LOCAL_PAUSE_MS);
+        callInProgress = false;
+        timeoutTask.cancel(false);
+        closeChannel();
+        scheduleCall(LOCAL_FAILURE_PAUSE_MS);
     }
 
     /** Schedules the next call after a pause; a call that starts sooner cancels the schedule. */
-    private void callIn(long ms) {
-        next = loop.schedule(this::call, ms, TimeUnit.MILLISECONDS);
+    private void scheduleCall(long delayMs) {
+        nextCallTask = loop.schedule(this::startCall, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void limit(long ms) {
-        silence = loop.schedule(this::silent, ms, TimeUnit.MILLISECONDS);
+    private void startTimeout(long timeoutMs) {
+        timeoutTask = loop.schedule(this::answerTimedOut, timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -316,80 +318,81 @@
      * {@code on_request} the next call starts at once, as changes that a dead watch misses soon count as
      * delivered; the decision module is not notified of a failure, after which it would pause.
      */
-    private void silent() {
+    private void answerTimedOut() {
         waits.callTimedOut();
-        if (asked && calling && !closed) {
-            giveUp(begun ? "the answer stalled" : "no answer before the timeout");
-            call();
+        if (isOnRequest && callInProgress && !closed) {
+            abandonCall(answerStarted ? "the answer stalled" : "no answer before the timeout");
+            startCall();
         } else {
-            failed(begun ? "the answer stalled" : "no answer before the timeout");
+            callFailed(answerStarted ? "the answer stalled" : "no answer before the timeout");
         }
     }
 
     /** Restarts the timeout when bytes of an answer arrive; it is shorter from the first byte on. */
-    private void stir(Channel from) {
-        if (from != channel || !calling) {
+    private void answerBytesReceived(Channel source) {
+        if (source != channel || !callInProgress) {
             return;
         }
-        begunAt = begun ? begunAt : System.nanoTime();
-        begun = true;
-        silence.cancel(false);
-        limit(waits.nextBytesTimeoutMs(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begunAt),
-                answerBytes));
+        answerStartedNs = answerStarted ? answerStartedNs : System.nanoTime();
+        answerStarted = true;
+        timeoutTask.cancel(false);
+        startTimeout(waits.nextBytesTimeoutMs(
+                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answerStartedNs), answerBytes));
     }
 
-    private void write(Channel to) {
+    private void sendRequest(Channel target) {
         var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                index < 0 ? PATH : PATH + "?index=" + index + "&wait=" + waits.waitMs(purpose),
+                index < 0 ? INSTANCES_PATH
+                        : INSTANCES_PATH + "?index=" + index + "&wait=" + waits.waitMs(purpose),
                 Unpooled.EMPTY_BUFFER);
-        InetSocketAddress address = addresses.get(at);
+        InetSocketAddress address = addresses.get(addressIndex);
         request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
-        to.writeAndFlush(request);
+        target.writeAndFlush(request);
     }
 
-    private void lost(Channel gone) {
-        if (gone == channel) {
+    private void connectionClosed(Channel closedChannel) {
+        if (closedChannel == channel) {
             channel = null;
-            if (calling) {
-                failed("the connection closed before the answer was complete");
+            if (callInProgress) {
+                callFailed("the connection closed before the answer was complete");
             }
         }
     }
 
     /** Ends the call in progress as failed and schedules a retry. The list in force stays. */
-    private void failed(String why) {
-        if (!calling || closed) {
+    private void callFailed(String reason) {
+        if (!callInProgress || closed) {
             return;
         }
-        giveUp(why);
-        if (asked) {
-            callIn(LATEST_ASK_MS + jitter.nextLong(LATEST_ASK_JITTER_MS));
+        abandonCall(reason);
+        if (isOnRequest) {
+            scheduleCall(ON_REQUEST_RETRY_MS + random.nextLong(ON_REQUEST_RETRY_JITTER_MS));
             driver.discoveryFailed();
         } else {
-            unsureUs = Math.min(unsureUs, driver.clock().nowUs());
+            missedSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
             // Jitter keeps proxies from returning all at once to a service that was down.
-            long afterMs = failedInRow == 1 ? jitter.nextLong(FAIL_OVER_MS + 1)
-                    : pauseMs * 3 / 4 + jitter.nextLong(pauseMs / 2 + 1);
-            callIn(afterMs);
-            pauseMs = Math.min(2 * pauseMs, mostPauseMs);
+            long afterMs = consecutiveFailures == 1 ? random.nextLong(MAX_FAIL_OVER_DELAY_MS + 1)
+                    : retryPauseMs * 3 / 4 + random.nextLong(retryPauseMs / 2 + 1);
+            scheduleCall(afterMs);
+            retryPauseMs = Math.min(2 * retryPauseMs, maxRetryPauseMs);
         }
         markFirstCallEnded();
     }
 
     /** Ends the call in progress; with several addresses the next call goes to another one. */
-    private void giveUp(String why) {
-        freshness.callFailed(driver.clock().nowUs(), why);
+    private void abandonCall(String reason) {
+        freshness.callFailed(driver.clock().nowUs(), reason);
         if (LOG.isDebugEnabled()) {
-            LOG.atDebug().addKeyValue("why", why).addKeyValue("purpose", purpose)
+            LOG.atDebug().addKeyValue("why", reason).addKeyValue("purpose", purpose)
                     .addKeyValue("index", index).addKeyValue("bytes", answerBytes)
-                    .addKeyValue("after_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt))
+                    .addKeyValue("after_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - callStartedNs))
                     .log("call given up");
         }
-        localFailures = 0;
-        calling = false;
+        consecutiveLocalFailures = 0;
+        callInProgress = false;
         purpose = Purpose.CATCH_UP;
-        silence.cancel(false);
-        dropChannel();
+        timeoutTask.cancel(false);
+        closeChannel();
         if (addresses.size() > 1) {
             failOver();
         }
@@ -402,123 +405,125 @@
      * many answers without a usable list as there are addresses.
      */
     private void failOver() {
-        failedInRow++;
-        int others = addresses.size() - 1;
-        at = (at + 1 + (failedInRow == 1 ? jitter.nextInt(others) : 0)) % addresses.size();
-        if (epoch == null || refusedInRow > others) {
-            forget();
+        consecutiveFailures++;
+        int otherAddresses = addresses.size() - 1;
+        addressIndex = (addressIndex + 1 + (consecutiveFailures == 1 ? random.nextInt(otherAddresses) : 0))
+                % addresses.size();
+        if (epoch == null || consecutiveRefusals > otherAddresses) {
+            requireFullList();
         }
     }
 
     /** Handles a complete answer; {@code listing} is null if it contained no valid list. */
-    private void answered(HttpResponse response, Listing listing) {
+    private void answerReceived(HttpResponse response, Listing listing) {
         if (response.status().codeClass() == HttpStatusClass.CLIENT_ERROR) {
-            forget();  // the service doesn't know the version in force
+            requireFullList();  // the service doesn't know the version in force
         }
-        String told = response.headers().get(EPOCH);
-        if (listing == null || !listing.isFull() && !follows(listing, told)) {
-            refusedInRow++;
-            failed("answered " + response.status().code()
+        String answerEpoch = response.headers().get(EPOCH_HEADER);
+        if (listing == null || !listing.isFull() && !canApply(listing, answerEpoch)) {
+            consecutiveRefusals++;
+            callFailed("answered " + response.status().code()
                     + (listing == null ? " without a valid list" : " with changes that do not apply"));
             return;
         }
-        waits.callAnswered(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt));
+        waits.callAnswered(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - callStartedNs));
         freshness.callAnswered(driver.clock().nowUs());
-        epoch = told;
-        calling = false;
-        long answeredCallUs = calledUs;
-        silence.cancel(false);
-        heard = true;
+        epoch = answerEpoch;
+        callInProgress = false;
+        long answeredCallStartedUs = callStartedUs;
+        timeoutTask.cancel(false);
+        listReceived = true;
         purpose = Purpose.WATCH;
         index = listing.index();
-        pauseMs = FIRST_PAUSE_MS;
-        failedInRow = 0;
-        refusedInRow = 0;
-        localFailures = 0;
+        retryPauseMs = MIN_RETRY_PAUSE_MS;
+        consecutiveFailures = 0;
+        consecutiveRefusals = 0;
+        consecutiveLocalFailures = 0;
         if (!HttpUtil.isKeepAlive(response)) {
-            dropChannel();
+            closeChannel();
         }
-        if (addresses.size() > 1 && response.headers().contains(STALE)) {
+        if (addresses.size() > 1 && response.headers().contains(STALE_HEADER)) {
             // The replica's list is applied, but another replica may have a newer one.
-            at = (at + 1) % addresses.size();
-            dropChannel();
+            addressIndex = (addressIndex + 1) % addresses.size();
+            closeChannel();
         }
         // Starts the next watch before applying the list, which may take long.
-        if (listing.entries().isEmpty() && System.nanoTime() - calledAt < IDLE_PAUSE_MS * 1_000_000) {
-            callIn(IDLE_PAUSE_MS);
+        if (listing.entries().isEmpty()
+                && System.nanoTime() - callStartedNs < EMPTY_ANSWER_PAUSE_MS * 1_000_000) {
+            scheduleCall(EMPTY_ANSWER_PAUSE_MS);
         } else {
-            call();
+            startCall();
         }
-        long toldUs = Math.min(unsureUs, driver.clock().nowUs());
-        unsureUs = Long.MAX_VALUE;
-        long beforeUs = currentUs;
-        currentUs = answeredCallUs;
-        driver.listChanged(listing.isFull() ? ListKind.WHOLE : ListKind.CHANGES, listing.entries(), toldUs,
-                beforeUs);
+        long deliveredSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
+        missedSinceUs = Long.MAX_VALUE;
+        long previousCurrentUs = listCurrentUs;
+        listCurrentUs = answeredCallStartedUs;
+        driver.listChanged(listing.isFull() ? ListKind.WHOLE : ListKind.CHANGES, listing.entries(),
+                deliveredSinceUs, previousCurrentUs);
         markFirstCallEnded();
     }
 
     /** Returns whether changes apply to the list in force; if not, the next call asks for the full list. */
-    private boolean follows(Listing changes, String told) {
-        boolean follows = index >= 0 && changes.index() >= index && Objects.equals(told, epoch);
-        if (!follows) {
+    private boolean canApply(Listing changes, String answerEpoch) {
+        boolean applicable = index >= 0 && changes.index() >= index && Objects.equals(answerEpoch, epoch);
+        if (!applicable) {
             LOG.atWarn().addKeyValue("index", changes.index()).addKeyValue("held", index)
                     .log("changes do not apply to the list in force; requesting the full list");
-            forget();
+            requireFullList();
         }
-        return follows;
+        return applicable;
     }
 
     /** Reads answers from the connection to discovery and passes on each when it is complete. */
-    private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
+    private final class AnswerReader extends SimpleChannelInboundHandler<HttpObject> {
         /** The head of the answer being received, or null. Informational (1xx) answers are skipped. */
         private HttpResponse response;
         /** The reader of the answer's list; null if the answer contains no list or an invalid one. */
-        private ListingReader reading;
+        private ListingReader listReader;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (context.channel() != channel || !calling || part.decoderResult().isFailure()) {
+            if (context.channel() != channel || !callInProgress || part.decoderResult().isFailure()) {
                 context.close();
                 return;
             }
             if (part instanceof HttpResponse head
                     && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
                 response = head;
-                reading = head.status().code() == HttpResponseStatus.OK.code()
+                listReader = head.status().code() == HttpResponseStatus.OK.code()
                         ? new ListingReader(zones) : null;
             }
             if (part instanceof HttpContent content && response != null) {
                 answerBytes += content.content().readableBytes();
-                read(content);
+                readContent(content);
             }
         }
 
-        private void read(HttpContent content) {
+        private void readContent(HttpContent content) {
             Listing listing = null;
             boolean last = content instanceof LastHttpContent;
             try {
-                if (reading != null) {
-                    reading.read(content.content());
-                    listing = last ? reading.finish() : null;
+                if (listReader != null) {
+                    listReader.read(content.content());
+                    listing = last ? listReader.finish() : null;
                 }
             } catch (ListingReader.InvalidListException e) {
                 LOG.atWarn().addKeyValue("why", e.getMessage())
                         .log("received an invalid list; requesting the full list");
-                reading = null;
-                forget();
+                listReader = null;
+                requireFullList();
             }
             if (last) {
-                HttpResponse whole = response;
+                HttpResponse answer = response;
                 response = null;
-                reading = null;
-                answered(whole, listing);
+                listReader = null;
+                answerReceived(answer, listing);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            lost(context.channel());
+            connectionClosed(context.channel());
         }
 
         @Override
--- a/src/main/java/larkworks/proxy/DiscoveryWaits.java
+++ b/src/main/java/larkworks/proxy/DiscoveryWaits.java
@@ -14,11 +14,11 @@
      * later, and a watch may die right at its start. Within these 6 s the watch must time out, and the pause
      * after a failed call must be over.
      */
-    private static final long WATCH_MS = 3_250;
+    private static final long WATCH_WAIT_MS = 3_250;
     /** A watch times out so long after the end of its wait. */
-    private static final long WATCH_SILENCE_MS = 1_250;
+    private static final long WATCH_TIMEOUT_MARGIN_MS = 1_250;
     /** The wait of the first call at an address; short, as the proxy's start depends on the answer. */
-    private static final long FIRST_WAIT_MS = 1;
+    private static final long FIRST_CALL_WAIT_MS = 1;
     /** The wait of the first call after a failed one; short, as it must show whether discovery is back. */
     private static final long CATCH_UP_WAIT_MS = 500;
     /** Timeout of the first call at an address, of a call for the full list, and of a connection attempt. */
@@ -28,16 +28,16 @@
      * which a change at discovery counts as delivered, whether the answer is slow, as discovery handles calls
      * one by one, or never comes.
      */
-    private static final long CATCH_UP_MS = 3_500;
+    private static final long CATCH_UP_TIMEOUT_MS = 3_500;
     /** Maximum by which repeated timeouts extend the next ones. */
-    private static final long MOST_EXTRA_MS = 30_000;
+    private static final long MAX_TIMEOUT_EXTENSION_MS = 30_000;
     /** Timeout between two parts of an answer; short, as the answer may announce a drain. */
-    private static final long STOP_MS = 1_000;
+    private static final long STALLED_ANSWER_TIMEOUT_MS = 1_000;
     /**
      * Time for a complete answer from its first byte on, extended by its bytes so far at the minimum rate.
      */
-    private static final long WHOLE_MS = 4_000;
-    private static final long LEAST_BYTES_A_MS = 16;
+    private static final long COMPLETE_ANSWER_TIMEOUT_MS = 4_000;
+    private static final long MIN_BYTES_PER_MS = 16;
 
     /** The purpose of a call, which sets its wait and its timeout. */
     enum Purpose {
@@ -49,48 +49,51 @@
         WATCH
     }
 
-    private int silences;
-    private long extraMs;
+    private int consecutiveTimeouts;
+    private long timeoutExtensionMs;
 
     /** Returns how long discovery may delay its answer while there are no changes. */
     long waitMs(Purpose purpose) {
         return switch (purpose) {
-            case FIRST -> FIRST_WAIT_MS;
+            case FIRST -> FIRST_CALL_WAIT_MS;
             case CATCH_UP -> CATCH_UP_WAIT_MS;
-            case WATCH -> WATCH_MS;
+            case WATCH -> WATCH_WAIT_MS;
         };
     }
 
     /**
-     * Returns the timeout of an answer's first byte; {@code whole}: whether the call is for the full list.
+     * Returns the timeout of an answer's first byte; {@code isFullList} says whether the call asks for the
+     * full list.
      */
-    long firstByteTimeoutMs(Purpose purpose, boolean whole) {
-        long usualMs = switch (purpose) {
+    long firstByteTimeoutMs(Purpose purpose, boolean isFullList) {
+        long baseTimeoutMs = switch (purpose) {
             case FIRST -> FIRST_CALL_TIMEOUT_MS;
-            case CATCH_UP -> CATCH_UP_MS;
-            case WATCH -> whole ? FIRST_CALL_TIMEOUT_MS : WATCH_MS + WATCH_SILENCE_MS;
+            case CATCH_UP -> CATCH_UP_TIMEOUT_MS;
+            case WATCH -> isFullList ? FIRST_CALL_TIMEOUT_MS : WATCH_WAIT_MS + WATCH_TIMEOUT_MARGIN_MS;
         };
-        return usualMs + extraMs;
+        return baseTimeoutMs + timeoutExtensionMs;
     }
 
     /** Returns the timeout of the next part of an answer, given its age and its bytes so far. */
     long nextBytesTimeoutMs(long sinceFirstByteMs, long bytes) {
-        long leftMs = WHOLE_MS + extraMs + bytes / LEAST_BYTES_A_MS - sinceFirstByteMs;
-        return Math.max(0, Math.min(STOP_MS + extraMs, leftMs));
+        long remainingMs = COMPLETE_ANSWER_TIMEOUT_MS + timeoutExtensionMs + bytes / MIN_BYTES_PER_MS
+                - sinceFirstByteMs;
+        return Math.max(0, Math.min(STALLED_ANSWER_TIMEOUT_MS + timeoutExtensionMs, remainingMs));
     }
 
     /** Records that a call timed out; from the second in a row on, timeouts grow. */
     void callTimedOut() {
-        if (++silences > 1) {
-            extraMs = Math.min(MOST_EXTRA_MS, Math.max(CATCH_UP_MS, 2 * extraMs));
+        if (++consecutiveTimeouts > 1) {
+            timeoutExtensionMs = Math.min(MAX_TIMEOUT_EXTENSION_MS,
+                    Math.max(CATCH_UP_TIMEOUT_MS, 2 * timeoutExtensionMs));
         }
     }
 
     /** Records that a call was answered; quick answers shrink grown timeouts step by step. */
-    void callAnswered(long tookMs) {
-        silences = 0;
-        if (2 * tookMs < extraMs) {
-            extraMs = extraMs / 2 < CATCH_UP_WAIT_MS ? 0 : extraMs / 2;
+    void callAnswered(long durationMs) {
+        consecutiveTimeouts = 0;
+        if (2 * durationMs < timeoutExtensionMs) {
+            timeoutExtensionMs = timeoutExtensionMs / 2 < CATCH_UP_WAIT_MS ? 0 : timeoutExtensionMs / 2;
         }
     }
 }
--- a/src/main/java/larkworks/proxy/ListFreshness.java
+++ b/src/main/java/larkworks/proxy/ListFreshness.java
@@ -23,7 +23,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
     /** A change counts as delivered to the proxy so long after discovery had it. */
-    private static final long TOLD_AFTER_US = 6_000_000;
+    private static final long DELIVERED_AFTER_US = 6_000_000;
 
     private volatile State state = State.FRESH;
     private long behindSinceUs;
@@ -35,29 +35,29 @@
     }
 
     /** Records a failed call to discovery. */
-    void callFailed(long nowUs, String why) {
+    void callFailed(long nowUs, String reason) {
         failures++;
         if (state == State.FRESH) {
             behindSinceUs = nowUs;
-            become(State.BEHIND, nowUs, why);
-        } else if (state == State.BEHIND && nowUs - behindSinceUs >= TOLD_AFTER_US) {
-            become(State.STALE, nowUs, why);
+            changeState(State.BEHIND, nowUs, reason);
+        } else if (state == State.BEHIND && nowUs - behindSinceUs >= DELIVERED_AFTER_US) {
+            changeState(State.STALE, nowUs, reason);
         }
     }
 
     /** Records an answered call to discovery. */
     void callAnswered(long nowUs) {
         if (state != State.FRESH) {
-            become(State.FRESH, nowUs, "answered");
+            changeState(State.FRESH, nowUs, "answered");
         }
         failures = 0;
     }
 
-    private void become(State next, long nowUs, String why) {
-        boolean notable = next == State.STALE || state == State.STALE;
-        state = next;
-        (notable ? LOG.atWarn() : LOG.atDebug())
-                .addKeyValue("state", next.name().toLowerCase(Locale.ROOT)).addKeyValue("why", why)
+    private void changeState(State newState, long nowUs, String reason) {
+        boolean isWarning = newState == State.STALE || state == State.STALE;
+        state = newState;
+        (isWarning ? LOG.atWarn() : LOG.atDebug())
+                .addKeyValue("state", newState.name().toLowerCase(Locale.ROOT)).addKeyValue("why", reason)
                 .addKeyValue("failures", failures)
                 .addKeyValue("behind_ms", (nowUs - behindSinceUs) / 1000).log("list of backends");
     }
--- a/src/main/java/larkworks/proxy/Listing.java
+++ b/src/main/java/larkworks/proxy/Listing.java
@@ -35,7 +35,7 @@
         private Object zone;
         private Object group;
         private Object weight;
-        private Object since;
+        private Object sinceMs;
 
         EntryBuilder(List<String> zones) {
             this.zones = zones;
@@ -50,7 +50,7 @@
                 case "zone" -> zone = value;
                 case "group" -> group = value;
                 case "weight" -> weight = value;
-                case "since_ms" -> since = value;
+                case "since_ms" -> sinceMs = value;
                 default -> { }
             }
         }
@@ -65,18 +65,21 @@
                 throw new IllegalArgumentException("endpoint without a name: a string is wanted, not '"
                         + name + "'");
             }
-            ServerStatus told = switch (String.valueOf(status)) {
+            ServerStatus serverStatus = switch (String.valueOf(status)) {
                 case "in_service" -> ServerStatus.UP;
                 case "terminating" -> ServerStatus.DRAINING;
                 case "terminated" -> ServerStatus.GONE;
                 default -> throw new IllegalArgumentException("status of " + id
                         + ": in_service, terminating or terminated is wanted, not '" + status + "'");
             };
-            double size = weight instanceof Number w && w.doubleValue() > 0 ? w.doubleValue() : 1;
+            double size = weight instanceof Number number && number.doubleValue() > 0
+                    ? number.doubleValue() : 1;
             // A terminated backend may lack an address, as nothing is sent to it.
-            InetSocketAddress at = told == ServerStatus.GONE ? null : Config.address(address);
-            return new Entry(new Server(id, whole(since) * 1000,
-                    Math.max(0, zones.indexOf(String.valueOf(zone))), (int) whole(group), size, told), at);
+            InetSocketAddress serverAddress = serverStatus == ServerStatus.GONE ? null
+                    : Config.address(address);
+            return new Entry(new Server(id, longOrZero(sinceMs) * 1000,
+                    Math.max(0, zones.indexOf(String.valueOf(zone))), (int) longOrZero(group), size,
+                    serverStatus), serverAddress);
         }
     }
 
@@ -95,16 +98,16 @@
         }
         List<Entry> entries = new ArrayList<>(endpoints.size());
         for (Object endpoint : endpoints) {
-            EntryBuilder line = new EntryBuilder(zones);
+            EntryBuilder builder = new EntryBuilder(zones);
             if (endpoint instanceof Map<?, ?> fields) {
-                fields.forEach((field, value) -> line.set(String.valueOf(field), value));
+                fields.forEach((field, value) -> builder.set(String.valueOf(field), value));
             }
-            entries.add(line.build());
+            entries.add(builder.build());
         }
         return new Listing(index.longValue(), isFull, entries);
     }
 
-    private static long whole(Object value) {
-        return value instanceof Number n ? n.longValue() : 0;
+    private static long longOrZero(Object value) {
+        return value instanceof Number number ? number.longValue() : 0;
     }
 }
--- a/src/main/java/larkworks/proxy/ListingReader.java
+++ b/src/main/java/larkworks/proxy/ListingReader.java
@@ -19,21 +19,21 @@
     /** Maximum backends in a list, more than any deployment has; a longer list is rejected. */
     static final int MAX_BACKENDS = 10_000;
     /** Maximum average size of a backend's JSON; real ones are far smaller, however they are indented. */
-    private static final int MOST_LINE_BYTES = 2_048;
-    private static final long MOST_BYTES = (long) MAX_BACKENDS * MOST_LINE_BYTES;
+    private static final int MAX_BACKEND_BYTES = 2_048;
+    private static final long MAX_LIST_BYTES = (long) MAX_BACKENDS * MAX_BACKEND_BYTES;
     /** Nesting depths of the JSON document, of the array of backends in it, and of a backend in that. */
-    private static final int DOCUMENT = 1;
-    private static final int LIST = 2;
-    private static final int LINE = 3;
+    private static final int DOCUMENT_DEPTH = 1;
+    private static final int LIST_DEPTH = 2;
+    private static final int BACKEND_DEPTH = 3;
 
-    private static final JsonFactory FACTORY = new JsonFactory();
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
     /** Thrown if the text is not a valid list of backends. */
     static final class InvalidListException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidListException(String why, Throwable cause) {
-            super(why, cause);
+        InvalidListException(String reason, Throwable cause) {
+            super(reason, cause);
         }
     }
 
@@ -41,20 +41,20 @@
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private final List<Listing.Entry> entries = new ArrayList<>();
-    private long bytes;
+    private long bytesRead;
     private int depth;
-    private boolean ended;
-    private boolean inList;
-    private boolean listed;
+    private boolean documentEnded;
+    private boolean inEndpoints;
+    private boolean endpointsFound;
     private Long index;
-    private Boolean whole;
-    private Listing.EntryBuilder line;
+    private Boolean isFull;
+    private Listing.EntryBuilder entryBuilder;
 
     /** Creates a reader of one list; {@code zones} are names of zones, a zone's position being its number. */
     ListingReader(List<String> zones) {
         this.zones = zones;
         try {
-            parser = FACTORY.createNonBlockingByteArrayParser();
+            parser = JSON_FACTORY.createNonBlockingByteArrayParser();
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
@@ -67,9 +67,9 @@
      * @throws Unreadable if the text so far can't be the start of a valid list
      */
     void read(ByteBuf part) throws InvalidListException {
-        bytes += part.readableBytes();
-        if (bytes > MOST_BYTES) {
-            throw new InvalidListException("list of more than " + MOST_BYTES + " bytes", null);
+        bytesRead += part.readableBytes();
+        if (bytesRead > MAX_LIST_BYTES) {
+            throw new InvalidListException("list of more than " + MAX_LIST_BYTES + " bytes", null);
         }
         if (!part.isReadable()) {
             return;
@@ -95,72 +95,73 @@
         } catch (IOException | IllegalArgumentException e) {
             throw new InvalidListException(e.getMessage(), e);
         }
-        if (!ended || index == null || whole == null || !listed) {
+        if (!documentEnded || index == null || isFull == null || !endpointsFound) {
             throw new InvalidListException("truncated, or without a number 'index', a boolean 'snapshot' or a"
                     + " list 'endpoints'", null);
         }
-        return new Listing(index, whole, entries);
+        return new Listing(index, isFull, entries);
     }
 
     private void readTokens() throws IOException {
         for (JsonToken token = parser.nextToken(); token != null && token != JsonToken.NOT_AVAILABLE;
                 token = parser.nextToken()) {
-            if (ended || depth == 0 && token != JsonToken.START_OBJECT) {
+            if (documentEnded || depth == 0 && token != JsonToken.START_OBJECT) {
                 throw new IllegalArgumentException("a single JSON object is wanted, found " + token);
             }
-            read(token);
+            readToken(token);
         }
     }
 
-    private void read(JsonToken token) throws IOException {
+    private void readToken(JsonToken token) throws IOException {
         if (token.isStructStart()) {
             depth++;
-            begin(token);
+            beginStructure(token);
         } else if (token.isStructEnd()) {
-            end(token);
+            endStructure(token);
             depth--;
-            ended = depth == 0;
+            documentEnded = depth == 0;
         } else if (token != JsonToken.FIELD_NAME) {
-            value(token);
+            readValue(token);
         }
     }
 
-    private void begin(JsonToken token) throws IOException {
-        if (depth == LIST && token == JsonToken.START_ARRAY && "endpoints".equals(parser.currentName())) {
-            inList = true;
-            listed = true;
-        } else if (depth == LINE && inList && token == JsonToken.START_OBJECT) {
-            line = new Listing.EntryBuilder(zones);
-        } else if (depth == LINE && inList) {
+    private void beginStructure(JsonToken token) throws IOException {
+        if (depth == LIST_DEPTH && token == JsonToken.START_ARRAY
+                && "endpoints".equals(parser.currentName())) {
+            inEndpoints = true;
+            endpointsFound = true;
+        } else if (depth == BACKEND_DEPTH && inEndpoints && token == JsonToken.START_OBJECT) {
+            entryBuilder = new Listing.EntryBuilder(zones);
+        } else if (depth == BACKEND_DEPTH && inEndpoints) {
             throw new IllegalArgumentException("endpoints: a list of JSON objects is wanted, found " + token);
         }
     }
 
-    private void end(JsonToken token) {
-        if (depth == LINE && line != null && token == JsonToken.END_OBJECT) {
+    private void endStructure(JsonToken token) {
+        if (depth == BACKEND_DEPTH && entryBuilder != null && token == JsonToken.END_OBJECT) {
             if (entries.size() == MAX_BACKENDS) {
                 throw new IllegalArgumentException("list of more than " + MAX_BACKENDS + " backends");
             }
-            entries.add(line.build());
-            line = null;
-        } else if (depth == LIST) {
-            inList = false;
+            entries.add(entryBuilder.build());
+            entryBuilder = null;
+        } else if (depth == LIST_DEPTH) {
+            inEndpoints = false;
         }
     }
 
-    private void value(JsonToken token) throws IOException {
-        if (depth == DOCUMENT && token.isNumeric() && "index".equals(parser.currentName())) {
+    private void readValue(JsonToken token) throws IOException {
+        if (depth == DOCUMENT_DEPTH && token.isNumeric() && "index".equals(parser.currentName())) {
             index = parser.getNumberValue().longValue();
-        } else if (depth == DOCUMENT && token.isBoolean() && "snapshot".equals(parser.currentName())) {
-            whole = parser.getBooleanValue();
-        } else if (depth == LINE && line != null) {
-            line.set(parser.currentName(), scalar(token));
-        } else if (depth == LIST && inList) {
+        } else if (depth == DOCUMENT_DEPTH && token.isBoolean() && "snapshot".equals(parser.currentName())) {
+            isFull = parser.getBooleanValue();
+        } else if (depth == BACKEND_DEPTH && entryBuilder != null) {
+            entryBuilder.set(parser.currentName(), scalarValue(token));
+        } else if (depth == LIST_DEPTH && inEndpoints) {
             throw new IllegalArgumentException("endpoints: a list of JSON objects is wanted, found " + token);
         }
     }
 
-    private Object scalar(JsonToken token) throws IOException {
+    private Object scalarValue(JsonToken token) throws IOException {
         if (token.isNumeric()) {
             return parser.getNumberValue();
         }
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -39,15 +39,15 @@
      * How long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s after it, and their
      * requests are answered too.
      */
-    private static final long ACCEPT_MS = 700;
+    private static final long ACCEPT_AFTER_SIGTERM_MS = 700;
     /** How often the shutdown checks whether all requests have ended. */
-    private static final long END_LOOK_MS = 10;
+    private static final long SHUTDOWN_CHECK_INTERVAL_MS = 10;
     /**
      * The platform sends SIGKILL no sooner than after the longest deadline of any request class, counted as
      * 3 s at most, plus this time.
      */
-    private static final long KILL_MS = 700;
-    private static final long LONGEST_MS = 3_000;
+    private static final long MIN_KILL_DELAY_MS = 700;
+    private static final long MAX_DEADLINE_MS = 3_000;
     /**
      * Requests that arrive late in the shutdown are answered so long before SIGKILL: time limits have 50 ms
      * of slack on sockets, and the process may pause for 150 ms between reading its clock and writing.
@@ -57,25 +57,25 @@
      * How long the shutdown waits for large bodies, which have no deadline; platforms commonly wait this long
      * before they kill a process.
      */
-    private static final long TRANSFER_MS = 30_000;
+    private static final long LARGE_BODY_TIMEOUT_MS = 30_000;
 
     /**
      * Maximum wait for the first list, from the start of the proxy's parts; after it the proxy serves with
      * the list from its configuration. A restarted process may have to be ready within 6 s, of which class
      * loading and warm-up take up to 3 s if twenty processes start at once on shared cores.
      */
-    private static final long LIST_WAIT_MS = 2_500;
+    private static final long MAX_LIST_WAIT_MS = 2_500;
     /** Pause between attempts to listen that fail for a passing reason, and how long they are repeated. */
-    private static final long LISTEN_AGAIN_MS = 20;
-    private static final long LISTEN_TRIES_MS = 5_000;
+    private static final long LISTEN_RETRY_MS = 20;
+    private static final long LISTEN_TIMEOUT_MS = 5_000;
     /** How often the start checks whether the first list has arrived. */
-    private static final long LIST_LOOK_MS = 20;
+    private static final long LIST_CHECK_INTERVAL_MS = 20;
 
-    private final PollTimes polls = new PollTimes();
+    private final PollTimes pollTimes = new PollTimes();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, polls.observe(NioIoHandler.newFactory()));
+            new MultiThreadIoEventLoopGroup(1, pollTimes.observe(NioIoHandler.newFactory()));
     private final EventLoop loop = group.next();
-    private final CountDownLatch finished = new CountDownLatch(1);
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final Config config;
     private final Sockets sockets;
     private final Driver driver;
@@ -83,16 +83,16 @@
     private final Discovery discovery;
     /** Null without an admin address. */
     private Maintenance maintenance;
-    private Channel admin;
+    private Channel adminListener;
     /** Null if membership is off. */
-    private final FleetMember member;
+    private final FleetMember fleetMember;
     /** Null if no state is shared with other proxies. */
-    private final SharedState shared;
+    private final SharedState sharedState;
     /** Null if metrics are off. */
     private final Meters meters;
     /** Null if this proxy does not take part in rollouts. */
-    private RolloutClient adoption;
-    private final Promise<InetSocketAddress> serving = loop.newPromise();
+    private RolloutClient rolloutClient;
+    private final Promise<InetSocketAddress> servingAddress = loop.newPromise();
 
     Main(Config config) {
         this.config = config;
@@ -101,14 +101,14 @@
         BackendPool pool = new BackendPool(loop, sockets, config.connectTimeoutUs(), config.keepAliveUs());
         meters = config.metricsEnabled() ? new Meters(config.settings().classes()) : null;
         driver = new Driver(config, new Clock(), loop, pool, meters);
-        frontend = new Frontend(config, loop, sockets, driver, polls);
+        frontend = new Frontend(config, loop, sockets, driver, pollTimes);
         discovery = new Discovery(config, loop, sockets, driver);
-        member = config.fleet() == null ? null
-                : new FleetMember(loop, config.fleet(), new MemberLog(),
+        fleetMember = config.fleet() == null ? null
+                : new FleetMember(loop, config.fleet(), new MembershipLog(),
                         text -> LOG.warn(text));
-        shared = config.shared() == null ? null : share();
+        sharedState = config.shared() == null ? null : createSharedState();
         if (meters != null) {
-            measure();
+            registerGauges();
             driver.invariants().onViolation(meters::violated);
             frontend.onAcceptFailure(meters::acceptFailed);
         }
@@ -128,7 +128,7 @@
         Main main = new Main(config);
         SighupHandler.install(() -> main.reload(file, flags));
         if (config.rolloutReportMs() > 0) {
-            main.adoption = new RolloutClient(config, main.loop, main.driver,
+            main.rolloutClient = new RolloutClient(config, main.loop, main.driver,
                     patch -> Config.read(file, System.getenv(), flags, patch).settings());
         }
         // Registered before the proxy listens, so that requests are finished however early SIGTERM comes.
@@ -141,32 +141,32 @@
     }
 
     /** Creates the state shared with other proxies and connects it with the driver and the fleet member. */
-    private SharedState share() {
+    private SharedState createSharedState() {
         SharedState state = new SharedState(config.shared(), config.fleet().self(),
                 config.fleet().peers().size(),
                 config.settings().classes().stream().map(RequestClass::name).toList(),
                 config.settings().rules().coldUs() / 1000, () -> driver.clock().nowUs() / 1000,
                 // Mixes in the member's number: proxies with the same seed must choose different members.
-                new Random(config.seed() + config.fleet().self() * 0x9E3779B97F4A7C15L), member.peers(),
+                new Random(config.seed() + config.fleet().self() * 0x9E3779B97F4A7C15L), fleetMember.peers(),
                 driver.new FromPeers());
-        member.carry(state);
+        fleetMember.carry(state);
         driver.share(state);
         return state;
     }
 
     /** Registers the gauges that are read at each scrape, from another thread than the loop. */
-    private void measure() {
+    private void registerGauges() {
         meters.gauge("larkworks.discovery.index", discovery, d -> d.index());
         for (ListFreshness.State state : ListFreshness.State.values()) {
             meters.gauge("larkworks.list", discovery, d -> d.freshness() == state ? 1 : 0, "state",
                     state.name().toLowerCase(Locale.ROOT));
         }
         meters.gauge("larkworks.sockets.open", sockets, s -> s.open());
-        meters.gauge("larkworks.loop.longest.gap.ms", polls, PollTimes::longestGapMs);
-        if (member != null) {
-            meters.gauge("larkworks.minority", member, m -> m.minority() ? 1 : 0);
+        meters.gauge("larkworks.loop.longest.gap.ms", pollTimes, PollTimes::longestGapMs);
+        if (fleetMember != null) {
+            meters.gauge("larkworks.minority", fleetMember, m -> m.minority() ? 1 : 0);
             for (MemberState state : MemberState.values()) {
-                meters.gauge("larkworks.members", member, m -> m.count(state), "state",
+                meters.gauge("larkworks.members", fleetMember, m -> m.count(state), "state",
                         FleetMember.name(state));
             }
         }
@@ -178,53 +178,55 @@
      * can serve.
      */
     void start() throws Unusable, InterruptedException {
-        boolean shared = config.adminAddress() != null;
-        long listByNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LIST_WAIT_MS);
-        maintenance = shared ? new Maintenance(config, loop, driver, sockets) : null;
+        boolean hasAdminAddress = config.adminAddress() != null;
+        long listDeadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_LIST_WAIT_MS);
+        maintenance = hasAdminAddress ? new Maintenance(config, loop, driver, sockets) : null;
         loop.submit(() -> {
-            polls.start(loop);
+            pollTimes.start(loop);
             driver.listChanged(ListKind.REMEMBERED,
                     config.knownList() == null ? List.of() : config.knownList().entries(),
                     driver.clock().nowUs(), Long.MIN_VALUE);
-            if (shared) {
+            if (hasAdminAddress) {
                 maintenance.start();
             }
             discovery.start();
-            if (member != null) {
-                member.start();
+            if (fleetMember != null) {
+                fleetMember.start();
             }
         }).sync();
-        if (shared) {
-            AdminServer operators = new AdminServer(loop, frontend::serves, maintenance, tables(), meters);
-            admin = listen(() -> operators.listen(config.adminAddress()), config.adminAddress());
+        if (hasAdminAddress) {
+            AdminServer adminServer = new AdminServer(loop, frontend::serves, maintenance, jsonTables(),
+                    meters);
+            adminListener = listenWithRetries(() -> adminServer.listen(config.adminAddress()),
+                    config.adminAddress());
         }
         // Warm-up at the shared address could reach the other process and, through it, its backends.
-        InetSocketAddress first = shared ? new InetSocketAddress(config.listen().getAddress(), 0)
-                : config.listen();
-        Channel listener = listen(() -> frontend.listen(first, false), first);
-        InetSocketAddress self = (InetSocketAddress) listener.localAddress();
-        loop.execute(() -> Warmup.run(config, loop, sockets, self, () -> {
-            if (shared) {
+        InetSocketAddress initialAddress = hasAdminAddress
+                ? new InetSocketAddress(config.listen().getAddress(), 0) : config.listen();
+        Channel listener = listenWithRetries(() -> frontend.listen(initialAddress, false), initialAddress);
+        InetSocketAddress listenerAddress = (InetSocketAddress) listener.localAddress();
+        loop.execute(() -> Warmup.run(config, loop, sockets, listenerAddress, () -> {
+            if (hasAdminAddress) {
                 listener.close();
-                serveOnceListed(listByNanos);
+                serveOnceListReceived(listDeadlineNs);
             } else {
-                serving.trySuccess(self);
+                servingAddress.trySuccess(listenerAddress);
                 // Changes at discovery may count as delivered from the start, so the first call must have
                 // ended.
-                discovery.onFirstCallEnded(this::ready);
-                loop.schedule(discovery::markFirstCallEnded, listByNanos - System.nanoTime(),
+                discovery.onFirstCallEnded(this::becomeReady);
+                loop.schedule(discovery::markFirstCallEnded, listDeadlineNs - System.nanoTime(),
                         TimeUnit.NANOSECONDS);
             }
         }));
     }
 
     /** Logs each change of a member's state, and whether this proxy sees a minority or a majority. */
-    private static final class MemberLog implements Membership.Events {
-        private static final Logger MEMBERS = LoggerFactory.getLogger("members");
+    private static final class MembershipLog implements Membership.Events {
+        private static final Logger MEMBERS_LOG = LoggerFactory.getLogger("members");
 
         @Override
         public void changed(int about, MemberState from, MemberState to, long incarnation) {
-            MEMBERS.atInfo().addKeyValue("about", about).addKeyValue("from", FleetMember.name(from))
+            MEMBERS_LOG.atInfo().addKeyValue("about", about).addKeyValue("from", FleetMember.name(from))
                     .addKeyValue("to", FleetMember.name(to)).addKeyValue("incarnation", incarnation)
                     .log("changed");
         }
@@ -237,30 +239,30 @@
 
         @Override
         public void minority(boolean now) {
-            MEMBERS.warn(now ? "minority" : "majority");
+            MEMBERS_LOG.warn(now ? "minority" : "majority");
         }
     }
 
     /** Returns the JSON tables that the admin address serves, by path. */
-    private Map<String, Supplier<String>> tables() {
-        Map<String, Supplier<String>> tables = new HashMap<>();
-        if (member != null) {
-            tables.put("/ops/members", member::table);
+    private Map<String, Supplier<String>> jsonTables() {
+        Map<String, Supplier<String>> jsonTables = new HashMap<>();
+        if (fleetMember != null) {
+            jsonTables.put("/ops/members", fleetMember::table);
         }
-        if (shared != null) {
-            tables.put("/ops/shared", shared::json);
+        if (sharedState != null) {
+            jsonTables.put("/ops/shared", sharedState::json);
         }
-        return tables;
+        return jsonTables;
     }
 
     /** Waits for a listener to bind; retries if the system is short of sockets only for a moment. */
-    private static Channel listen(Supplier<ChannelFuture> binding, InetSocketAddress address)
+    private static Channel listenWithRetries(Supplier<ChannelFuture> binding, InetSocketAddress address)
             throws Unusable, InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TRIES_MS);
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TIMEOUT_MS);
         ChannelFuture bound = binding.get().await();
         while (!bound.isSuccess() && SystemError.of(bound.cause()).isMomentary()
-                && System.nanoTime() - untilNanos < 0) {
-            Thread.sleep(LISTEN_AGAIN_MS);
+                && System.nanoTime() - deadlineNs < 0) {
+            Thread.sleep(LISTEN_RETRY_MS);
             bound = binding.get().await();
         }
         if (!bound.isSuccess()) {
@@ -271,48 +273,50 @@
 
     /**
      * Listens for clients once a list has been received and a backend can serve. The list in the
-     * configuration may be old; after {@code untilNanos} it suffices all the same.
+     * configuration may be old; after {@code deadlineNs} it suffices all the same.
      */
-    private void serveOnceListed(long untilNanos) {
+    private void serveOnceListReceived(long deadlineNs) {
         if (frontend.drains()) {
             // SIGTERM arrived during the start; another process serves at the address or soon will.
             return;
         }
-        boolean waited = discovery.hasReceivedList() || System.nanoTime() - untilNanos > 0;
-        if (!waited || !driver.canServe()) {
-            loop.schedule(() -> serveOnceListed(untilNanos), LIST_LOOK_MS, TimeUnit.MILLISECONDS);
+        boolean waitEnded = discovery.hasReceivedList() || System.nanoTime() - deadlineNs > 0;
+        if (!waitEnded || !driver.canServe()) {
+            loop.schedule(() -> serveOnceListReceived(deadlineNs), LIST_CHECK_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
             return;
         }
         ChannelFuture bound = frontend.listen(config.listen(), true);
         bound.addListener(done -> {
             if (done.isSuccess()) {
-                ready();
-                serving.trySuccess((InetSocketAddress) bound.channel().localAddress());
+                becomeReady();
+                servingAddress.trySuccess((InetSocketAddress) bound.channel().localAddress());
             } else if (SystemError.of(done.cause()).isMomentary()) {
-                loop.schedule(() -> serveOnceListed(untilNanos), LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> serveOnceListReceived(deadlineNs), LISTEN_RETRY_MS,
+                        TimeUnit.MILLISECONDS);
             } else {
-                serving.tryFailure(done.cause());
+                servingAddress.tryFailure(done.cause());
             }
         });
     }
 
-    private void ready() {
+    private void becomeReady() {
         frontend.ready();
-        if (adoption != null) {
-            adoption.start();
+        if (rolloutClient != null) {
+            rolloutClient.start();
         }
     }
 
     /** Switches to the discovery addresses in the replaced file; its other changes need a restart. */
     private synchronized void reload(String file, Map<String, String> flags) {
         try {
-            Config next = Config.read(file, System.getenv(), flags);
-            List<String> keys = config.restartNeeded(next);
+            Config newConfig = Config.read(file, System.getenv(), flags);
+            List<String> keys = config.restartNeeded(newConfig);
             if (!keys.isEmpty()) {
                 LOG.atWarn().addKeyValue("keys", keys)
                         .log("changes of these keys need a restart and were not applied");
             }
-            loop.execute(() -> discovery.switchTo(next.discovery()));
+            loop.execute(() -> discovery.switchTo(newConfig.discovery()));
         } catch (Unusable e) {
             LOG.atError().addKeyValue("why", e.getMessage()).log("the old configuration is kept");
         }
@@ -343,17 +347,17 @@
 
     /** Returns the bound admin address; only after a start with an admin address. */
     InetSocketAddress adminAddress() {
-        return (InetSocketAddress) admin.localAddress();
+        return (InetSocketAddress) adminListener.localAddress();
     }
 
     /** Waits until the proxy serves and returns the address that it listens at. */
     InetSocketAddress awaitServing() throws Unusable, InterruptedException {
-        serving.await();
-        if (!serving.isSuccess()) {
+        servingAddress.await();
+        if (!servingAddress.isSuccess()) {
             throw new Unusable("can't listen at " + config.listen(),
-                    List.of(serving.cause().getMessage()));
+                    List.of(servingAddress.cause().getMessage()));
         }
-        return serving.getNow();
+        return servingAddress.getNow();
     }
 
     /**
@@ -363,38 +367,38 @@
      */
     void drainAndWait() {
         // Read here and not on the loop, which may be busy and run the task late.
-        long toldUs = driver.clock().nowUs();
+        long signalUs = driver.clock().nowUs();
         loop.execute(() -> {
-            if (!frontend.listens() && member == null) {
+            if (!frontend.listens() && fleetMember == null) {
                 // No requests were accepted, and there are no members to notify.
-                finished.countDown();
+                shutdownComplete.countDown();
                 return;
             }
             frontend.drain();
-            if (adoption != null) {
-                adoption.close();
+            if (rolloutClient != null) {
+                rolloutClient.close();
             }
-            if (member != null) {
-                member.leave();
+            if (fleetMember != null) {
+                fleetMember.leave();
             }
             // A request sent over 0.7 s after SIGTERM must be answered before the earliest SIGKILL. SIGTERM
             // may have been sent some time before this process handled it, so the bound starts sooner.
-            long killMs = Math.min(LONGEST_MS, longestMs()) + KILL_MS;
-            driver.answerBy(toldUs + (ACCEPT_MS - KILL_MARGIN_MS) * 1000,
-                    toldUs + (killMs - KILL_MARGIN_MS) * 1000);
+            long earliestKillMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs()) + MIN_KILL_DELAY_MS;
+            driver.answerBy(signalUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
+                    signalUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
             loop.schedule(() -> {
                 frontend.stopListening();
-                endWhenIdle();
-            }, ACCEPT_MS, TimeUnit.MILLISECONDS);
+                completeWhenIdle();
+            }, ACCEPT_AFTER_SIGTERM_MS, TimeUnit.MILLISECONDS);
         });
         try {
-            finished.await();
+            shutdownComplete.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private long longestMs() {
+    private long longestDeadlineMs() {
         return config.settings().classes().stream().mapToLong(RequestClass::deadlineUs).max().orElse(0)
                 / 1000;
     }
@@ -403,27 +407,27 @@
      * Ends the shutdown once all requests have ended and all connections are closed, which each answer does
      * while the proxy drains, or once the time for large bodies is over.
      */
-    private void endWhenIdle() {
+    private void completeWhenIdle() {
         frontend.closeUnused();
-        boolean late = driver.clock().nowUs() > driver.lastDueUs() + TRANSFER_MS * 1000;
-        if (late) {
+        boolean timedOut = driver.clock().nowUs() > driver.lastDueUs() + LARGE_BODY_TIMEOUT_MS * 1000;
+        if (timedOut) {
             LOG.warn("stopped with requests that have not ended");
             driver.logPending("the process ends");
         }
-        if (late || driver.isIdle() && frontend.isEmpty()) {
+        if (timedOut || driver.isIdle() && frontend.isEmpty()) {
             driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.heldBytes() == 0,
                     Invariants.Rule.NOTHING_LEFT, "", () -> clientUsage().toString());
-            finished.countDown();
+            shutdownComplete.countDown();
         } else {
-            loop.schedule(this::endWhenIdle, END_LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::completeWhenIdle, SHUTDOWN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Closes the proxy at once, without draining. */
     void close() {
         loop.execute(discovery::close);
-        if (member != null) {
-            loop.execute(member::leave);
+        if (fleetMember != null) {
+            loop.execute(fleetMember::leave);
         }
         if (meters != null) {
             meters.close();
--- a/src/main/java/larkworks/proxy/Maintenance.java
+++ b/src/main/java/larkworks/proxy/Maintenance.java
@@ -23,102 +23,103 @@
     enum Result { DONE, UNKNOWN_BACKEND, NOT_STORED }
 
     /** Checks of the folder within the grace of a drain; a check is cheap. */
-    private static final int LOOKS_IN_GRACE = 5;
-    private static final long LEAST_PAUSE_US = 10_000;
+    private static final int CHECKS_PER_DRAIN_GRACE = 5;
+    private static final long MIN_CHECK_INTERVAL_US = 10_000;
 
     private final EventLoop loop;
     private final Driver driver;
     private final Sockets sockets;
-    private final long pauseUs;
-    private final InetSocketAddress listen;
+    private final long checkIntervalUs;
+    private final InetSocketAddress listenAddress;
     /** Folder that outlives this process; null if none is given: commands then end with the process. */
-    private final Path state;
+    private final Path stateFolder;
     /** Null until the folder can be opened: a disk that fails for a while must not prevent the start. */
-    private MaintenanceStore kept;
+    private MaintenanceStore store;
     /** Null until the folder can be opened. */
-    private ProcessLock presence;
-    private boolean failing;
+    private ProcessLock processLock;
+    private boolean lastCheckFailed;
 
     Maintenance(Config config, EventLoop loop, Driver driver, Sockets sockets) {
         this.loop = loop;
         this.driver = driver;
         this.sockets = sockets;
-        this.pauseUs = Math.max(LEAST_PAUSE_US, config.settings().rules().drainGraceUs() / LOOKS_IN_GRACE);
-        this.listen = config.listen();
-        this.state = config.stateFolder();
+        this.checkIntervalUs = Math.max(MIN_CHECK_INTERVAL_US,
+                config.settings().rules().drainGraceUs() / CHECKS_PER_DRAIN_GRACE);
+        this.listenAddress = config.listen();
+        this.stateFolder = config.stateFolder();
     }
 
-    private void open() throws IOException {
-        if (kept == null) {
-            Path folder = folder(state, listen);
-            presence = new ProcessLock(folder);
-            kept = new MaintenanceStore(folder);
+    private void openFolder() throws IOException {
+        if (store == null) {
+            Path folder = createFolder(stateFolder, listenAddress);
+            processLock = new ProcessLock(folder);
+            store = new MaintenanceStore(folder);
         }
     }
 
     /** Creates and returns the proxy's own folder, named after the address that it listens at. */
-    private static Path folder(Path parent, InetSocketAddress listen) throws IOException {
-        String name = listen.getAddress().getHostAddress() + "-" + listen.getPort();
+    private static Path createFolder(Path parent, InetSocketAddress listenAddress) throws IOException {
+        String name = listenAddress.getAddress().getHostAddress() + "-" + listenAddress.getPort();
         return Files.createDirectories(parent.resolve("larkworks-" + name.replace(':', '_')));
     }
 
     /** Applies the stored commands; to be called on the loop, before the first request. */
     void start() {
-        if (state == null) {
+        if (stateFolder == null) {
             LOG.warn("TMPDIR is not set: operators' commands about backends are lost when this process ends");
             return;
         }
-        look();
+        checkFolder();
     }
 
     /** Releases the lock by which other processes see that this one is alive. */
     void close() throws IOException {
-        if (presence != null) {
-            presence.close();
+        if (processLock != null) {
+            processLock.close();
         }
     }
 
-    private void look() {
+    private void checkFolder() {
         try {
-            open();
-            sockets.share(presence.isOtherProcessAlive());
-            Set<String> told = kept.backends();
-            told.forEach(backend -> driver.maintenance(backend, true));
+            openFolder();
+            sockets.share(processLock.isOtherProcessAlive());
+            Set<String> stored = store.backends();
+            stored.forEach(backend -> driver.maintenance(backend, true));
             for (String backend : driver.out()) {
-                if (!told.contains(backend)) {
+                if (!stored.contains(backend)) {
                     driver.maintenance(backend, false);
                 }
             }
-            failing = false;
+            lastCheckFailed = false;
         } catch (IOException e) {
-            if (!failing) {
+            if (!lastCheckFailed) {
                 LOG.error("can't read which backends are in maintenance; trying again", e);
             }
-            failing = true;
+            lastCheckFailed = true;
         }
-        loop.schedule(this::look, pauseUs, TimeUnit.MICROSECONDS);
+        loop.schedule(this::checkFolder, checkIntervalUs, TimeUnit.MICROSECONDS);
     }
 
     /** Puts a backend in maintenance, or lets it serve again. */
-    Result setMaintenance(String backend, boolean leave) {
+    Result setMaintenance(String backend, boolean inMaintenance) {
         if (!driver.knows(backend)) {
             return Result.UNKNOWN_BACKEND;
         }
         try {
-            if (state != null) {
-                open();
+            if (stateFolder != null) {
+                openFolder();
             }
-            if (kept != null && leave) {
-                kept.add(backend);
-            } else if (kept != null) {
-                kept.remove(backend);
+            if (store != null && inMaintenance) {
+                store.add(backend);
+            } else if (store != null) {
+                store.remove(backend);
             }
         } catch (IOException e) {
             LOG.atError().addKeyValue("backend", backend).setCause(e)
                     .log("can't store an operator's command about a backend; it was not applied");
             return Result.NOT_STORED;
         }
-        driver.maintenance(backend, leave);
+        driver.maintenance(backend, inMaintenance);
         return Result.DONE;
     }
 }
--- a/src/main/java/larkworks/proxy/MaintenanceStore.java
+++ b/src/main/java/larkworks/proxy/MaintenanceStore.java
@@ -16,7 +16,7 @@
  */
 final class MaintenanceStore {
 
-    private static final String PREFIX = "out-";
+    private static final String FILE_PREFIX = "out-";
 
     private final Path folder;
 
@@ -24,12 +24,12 @@
         this.folder = folder;
     }
 
-    private static String encoded(String text) {
+    private static String encode(String text) {
         return Base64.getUrlEncoder().withoutPadding().encodeToString(text.getBytes(StandardCharsets.UTF_8));
     }
 
     private Path file(String backend) {
-        return folder.resolve(PREFIX + encoded(backend));
+        return folder.resolve(FILE_PREFIX + encode(backend));
     }
 
     /** Stores that the backend is in maintenance; visible to other processes once this returns. */
@@ -47,13 +47,13 @@
     /** Returns the ids of all backends in maintenance. */
     Set<String> backends() throws IOException {
         Set<String> backends = new HashSet<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
             for (Path file : files) {
-                String name = file.getFileName().toString().substring(PREFIX.length());
+                String name = file.getFileName().toString().substring(FILE_PREFIX.length());
                 backends.add(new String(Base64.getUrlDecoder().decode(name), StandardCharsets.UTF_8));
             }
         } catch (IllegalArgumentException e) {
-            throw new IOException("a file in " + folder + " has a name that is not '" + PREFIX
+            throw new IOException("a file in " + folder + " has a name that is not '" + FILE_PREFIX
                     + "' and a Base64-encoded backend id", e);
         }
         return backends;
--- a/src/main/java/larkworks/proxy/ProcessLock.java
+++ b/src/main/java/larkworks/proxy/ProcessLock.java
@@ -16,34 +16,34 @@
  */
 final class ProcessLock {
 
-    private static final String PREFIX = "alive-";
+    private static final String FILE_PREFIX = "alive-";
 
     private final Path folder;
-    private final Path own;
+    private final Path ownFile;
     /** Open as long as the process is alive; closing it would release the lock. */
     private final FileChannel channel;
 
     ProcessLock(Path folder) throws IOException {
         this.folder = folder;
-        own = Files.createTempFile(folder, PREFIX, "");
-        channel = FileChannel.open(own, StandardOpenOption.WRITE);
+        ownFile = Files.createTempFile(folder, FILE_PREFIX, "");
+        channel = FileChannel.open(ownFile, StandardOpenOption.WRITE);
         channel.lock();
     }
 
     /** Returns whether another process is alive, and removes files of processes that have ended. */
     boolean isOtherProcessAlive() throws IOException {
-        boolean others = false;
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
+        boolean otherAlive = false;
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
             for (Path file : files) {
-                others |= !file.equals(own) && locked(file);
+                otherAlive |= !file.equals(ownFile) && isLocked(file);
             }
         }
-        return others;
+        return otherAlive;
     }
 
-    private static boolean locked(Path file) throws IOException {
-        try (FileChannel other = FileChannel.open(file, StandardOpenOption.WRITE);
-                FileLock lock = other.tryLock()) {
+    private static boolean isLocked(Path file) throws IOException {
+        try (FileChannel otherChannel = FileChannel.open(file, StandardOpenOption.WRITE);
+                FileLock lock = otherChannel.tryLock()) {
             if (lock != null) {
                 Files.deleteIfExists(file);
             }
--- a/src/main/java/larkworks/proxy/RolloutClient.java
+++ b/src/main/java/larkworks/proxy/RolloutClient.java
@@ -49,9 +49,9 @@
     private static final Logger LOG = LoggerFactory.getLogger("rollout");
     private static final ObjectMapper JSON = JsonMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE).build();
-    private static final int MOST_ANSWER = 128 << 10;
+    private static final int MAX_ANSWER_BYTES = 128 << 10;
     /** Timeout of connecting, and of the wait for an answer. */
-    private static final long PATIENCE_MS = 2_000;
+    private static final long ANSWER_TIMEOUT_MS = 2_000;
 
     /** Reads the settings from the configuration file with a merge patch applied to it. */
     interface SettingsReader {
@@ -62,66 +62,67 @@
     private final Driver driver;
     private final String name;
     private final List<InetSocketAddress> addresses;
-    private final long everyMs;
-    private final SettingsReader reader;
-    private final Settings first;
-    private int at;
+    private final long reportIntervalMs;
+    private final SettingsReader settingsReader;
+    private final Settings initialSettings;
+    private int addressIndex;
     /** The version that this proxy runs; 0 for the configuration file without a patch. */
     private long version;
-    private long refused;
-    private String why = "";
-    private Future<?> next;
+    private long refusedVersion;
+    private String refusalReason = "";
+    private Future<?> nextReport;
     private boolean closed;
 
-    RolloutClient(Config config, EventLoop loop, Driver driver, SettingsReader reader) {
+    RolloutClient(Config config, EventLoop loop, Driver driver, SettingsReader settingsReader) {
         this.loop = loop;
         this.driver = driver;
         this.name = config.name();
         this.addresses = config.discovery();
-        this.everyMs = config.rolloutReportMs();
-        this.reader = reader;
-        this.first = config.settings();
+        this.reportIntervalMs = config.rolloutReportMs();
+        this.settingsReader = settingsReader;
+        this.initialSettings = config.settings();
     }
 
     /** Starts reporting; to be called on the loop. */
     void start() {
-        next = loop.schedule(this::report, everyMs, TimeUnit.MILLISECONDS);
+        nextReport = loop.schedule(this::sendReport, reportIntervalMs, TimeUnit.MILLISECONDS);
     }
 
     void close() {
         closed = true;
-        if (next != null) {
-            next.cancel(false);
+        if (nextReport != null) {
+            nextReport.cancel(false);
         }
     }
 
-    private void report() {
+    private void sendReport() {
         if (closed) {
             return;
         }
-        next = loop.schedule(this::report, everyMs, TimeUnit.MILLISECONDS);
-        InetSocketAddress address = addresses.get(at);
+        nextReport = loop.schedule(this::sendReport, reportIntervalMs, TimeUnit.MILLISECONDS);
+        InetSocketAddress address = addresses.get(addressIndex);
         new Bootstrap().group(loop).channel(TcpChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) PATIENCE_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline().addLast(
-                                new ReadTimeoutHandler(PATIENCE_MS, TimeUnit.MILLISECONDS),
-                                new HttpClientCodec(), new HttpObjectAggregator(MOST_ANSWER), new Answer());
+                                new ReadTimeoutHandler(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                                new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES),
+                                new AnswerHandler());
                     }
                 }).connect(address).addListener((io.netty.channel.ChannelFuture connected) -> {
                     if (connected.isSuccess()) {
-                        send(connected.channel(), address);
+                        writeReport(connected.channel(), address);
                     } else {
-                        at = (at + 1) % addresses.size();
+                        addressIndex = (addressIndex + 1) % addresses.size();
                     }
                 });
     }
 
-    private void send(Channel channel, InetSocketAddress address) throws IOException {
+    private void writeReport(Channel channel, InetSocketAddress address) throws IOException {
         byte[] body = JSON.writeValueAsBytes(new Report(version, driver.requestsEnded(),
-                driver.requestsFailed(), refused, why, driver.resting()));
+                driver.requestsFailed(), refusedVersion, refusalReason, driver.resting()));
         var call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT,
                 "/registry/v1/rollout/reports/" + name, Unpooled.wrappedBuffer(body));
         call.headers().set(HttpHeaderNames.HOST, Addresses.text(address))
@@ -130,7 +131,7 @@
         channel.writeAndFlush(call);
     }
 
-    private final class Answer extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             context.close();
@@ -140,7 +141,7 @@
                 return;
             }
             try {
-                told(JSON.readValue(ByteBufUtil.getBytes(response.content()), Rollouts.Target.class));
+                applyTarget(JSON.readValue(ByteBufUtil.getBytes(response.content()), Rollouts.Target.class));
             } catch (IOException e) {
                 LOG.atWarn().addKeyValue("why", e.getMessage())
                         .log("the answer to a rollout report can't be parsed");
@@ -151,35 +152,35 @@
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             // For example a timeout or a reset: the next report goes to the next address.
             LOG.atDebug().addKeyValue("why", cause.toString()).log("no answer to a rollout report");
-            at = (at + 1) % addresses.size();
+            addressIndex = (addressIndex + 1) % addresses.size();
             context.close();
         }
     }
 
-    private void told(Rollouts.Target target) {
-        if (target.version() == version || refused > 0 && target.version() == refused) {
+    private void applyTarget(Rollouts.Target target) {
+        if (target.version() == version || refusedVersion > 0 && target.version() == refusedVersion) {
             return;
         }
         try {
-            Settings settings = reader.settings(target.patch());
-            if (!names(settings).equals(names(first))) {
+            Settings settings = settingsReader.settings(target.patch());
+            if (!classAndTenantNames(settings).equals(classAndTenantNames(initialSettings))) {
                 throw new Unusable("rollout", List.of("classes and tenants must stay as they are"));
             }
             driver.adopt(settings);
             LOG.atInfo().addKeyValue("from", version).addKeyValue("to", target.version()).log("adopted");
             version = target.version();
-            refused = 0;
-            why = "";
+            refusedVersion = 0;
+            refusalReason = "";
         } catch (Unusable | RuntimeException e) {
             // Whatever the fault, the version is not applied, and the next report gives the reason.
-            refused = target.version();
-            why = String.valueOf(e.getMessage());
-            LOG.atError().addKeyValue("version", refused).addKeyValue("why", why)
+            refusedVersion = target.version();
+            refusalReason = String.valueOf(e.getMessage());
+            LOG.atError().addKeyValue("version", refusedVersion).addKeyValue("why", refusalReason)
                     .log("configuration version can't be applied; keeping the present one");
         }
     }
 
-    private static List<Object> names(Settings settings) {
+    private static List<Object> classAndTenantNames(Settings settings) {
         return List.of(settings.classes().stream().map(RequestClass::name).toList(),
                 settings.tenants().stream().map(Tenant::name).toList());
     }
--- a/src/main/java/larkworks/proxy/SighupHandler.java
+++ b/src/main/java/larkworks/proxy/SighupHandler.java
@@ -14,15 +14,15 @@
     /** Runs the action at each SIGHUP from now on, on one of the JVM's own threads. */
     static void install(Runnable action) {
         try {
-            Class<?> signal = Class.forName("sun.misc.Signal");
-            Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object handling = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(),
-                    new Class<?>[] {handler}, (self, method, arguments) -> {
+            Class<?> signalClass = Class.forName("sun.misc.Signal");
+            Class<?> handlerClass = Class.forName("sun.misc.SignalHandler");
+            Object handler = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(),
+                    new Class<?>[] {handlerClass}, (self, method, arguments) -> {
                         action.run();
                         return null;
                     });
-            signal.getMethod("handle", signal, handler).invoke(null,
-                    signal.getConstructor(String.class).newInstance("HUP"), handling);
+            signalClass.getMethod("handle", signalClass, handlerClass).invoke(null,
+                    signalClass.getConstructor(String.class).newInstance("HUP"), handler);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("can't install a handler for SIGHUP: sun.misc.Signal failed", e);
         }
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -18,97 +18,98 @@
 final class StartTimes {
 
     /** A list may arrive this long after a server's start without implying that the clocks differ. */
-    private static final long LATE_LIST_US = 30_000_000;
+    private static final long MAX_LIST_DELAY_US = 30_000_000;
 
     /** Maximum servers whose starts are kept, including servers that are no longer listed. */
-    private static final int MOST_STARTS = 16_384;
+    private static final int MAX_SERVERS = 16_384;
 
     /** A server as listed, with its listed start time, and its start on this process's clock. */
-    private record Start(Server line, long placedUs) {
-        Server placed() {
-            return new Server(line.id(), placedUs, line.zone(), line.group(), line.size(), line.status());
+    private record KnownStart(Server listed, long localStartUs) {
+        Server withLocalStart() {
+            return new Server(listed.id(), localStartUs, listed.zone(), listed.group(), listed.size(),
+                    listed.status());
         }
     }
 
-    private final long rampUs;
-    private final Map<String, Start> starts = new LinkedHashMap<>() {
+    private final long coldUs;
+    private final Map<String, KnownStart> starts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Start> eldest) {
-            return size() > MOST_STARTS;
+        protected boolean removeEldestEntry(Map.Entry<String, KnownStart> eldest) {
+            return size() > MAX_SERVERS;
         }
     };
     /** Difference that converts a listed time to this process's clock. */
-    private long offsetUs;
+    private long clockOffsetUs;
     /** Whether a list remembered from before this process's start contained servers. */
-    private boolean remembers;
+    private boolean hasRememberedServers;
 
-    /** Creates an empty table; {@code rampUs} is how long a server counts as cold after its start. */
-    StartTimes(long rampUs) {
-        this.rampUs = rampUs;
+    /** Creates an empty table; {@code coldUs} is how long a server counts as cold after its start. */
+    StartTimes(long coldUs) {
+        this.coldUs = coldUs;
     }
 
     /**
      * Returns the servers with their start times converted to this process's clock.
      *
-     * @param lines the servers as listed
-     * @param currentUs when the previous list was current; {@code Long.MIN_VALUE} if there is none
-     * @param moved receives servers of earlier lists whose start time turns out later than assumed, by a
+     * @param servers the servers as listed
+     * @param previousListUs when the previous list was current; {@code Long.MIN_VALUE} if there is none
+     * @param corrected receives servers of earlier lists whose start time turns out later than assumed, by a
      *     clock offset that these servers reveal
      */
-    List<Server> toLocalClock(long nowUs, ListKind kind, List<Server> lines, long currentUs,
-            List<Server> moved) {
-        long before = offsetUs;
-        for (Server line : lines) {
-            Start known = starts.get(line.id());
-            boolean same = known != null && known.line.startedAtUs() == line.startedAtUs();
-            starts.put(line.id(), new Start(line, same ? known.placedUs
-                    : placed(nowUs, kind, line.startedAtUs(), currentUs)));
+    List<Server> toLocalClock(long nowUs, ListKind kind, List<Server> servers, long previousListUs,
+            List<Server> corrected) {
+        long previousOffsetUs = clockOffsetUs;
+        for (Server server : servers) {
+            KnownStart known = starts.get(server.id());
+            boolean isUnchanged = known != null && known.listed.startedAtUs() == server.startedAtUs();
+            starts.put(server.id(), new KnownStart(server, isUnchanged ? known.localStartUs
+                    : localStartUs(nowUs, kind, server.startedAtUs(), previousListUs)));
         }
-        remembers |= kind == ListKind.REMEMBERED && !lines.isEmpty();
-        if (offsetUs != before) {
-            placeAnew(nowUs, moved);
-            Set<String> told = lines.stream().map(Server::id).collect(Collectors.toSet());
-            moved.removeIf(server -> told.contains(server.id()));
+        hasRememberedServers |= kind == ListKind.REMEMBERED && !servers.isEmpty();
+        if (clockOffsetUs != previousOffsetUs) {
+            applyClockOffset(nowUs, corrected);
+            Set<String> listedIds = servers.stream().map(Server::id).collect(Collectors.toSet());
+            corrected.removeIf(server -> listedIds.contains(server.id()));
         }
-        return lines.stream().map(line -> starts.get(line.id()).placed()).toList();
+        return servers.stream().map(server -> starts.get(server.id()).withLocalStart()).toList();
     }
 
-    private long placed(long nowUs, ListKind kind, long toldUs, long currentUs) {
-        if (toldUs <= 0) {
-            return toldUs;
+    private long localStartUs(long nowUs, ListKind kind, long listedStartUs, long previousListUs) {
+        if (listedStartUs <= 0) {
+            return listedStartUs;
         }
-        long byClockUs = toldUs + offsetUs;
-        if (byClockUs > nowUs) {
-            offsetUs = nowUs - toldUs;
+        long convertedUs = listedStartUs + clockOffsetUs;
+        if (convertedUs > nowUs) {
+            clockOffsetUs = nowUs - listedStartUs;
             return nowUs;
         }
-        if (currentUs != Long.MIN_VALUE) {
-            if (currentUs - byClockUs > LATE_LIST_US) {
-                offsetUs = currentUs - toldUs;
+        if (previousListUs != Long.MIN_VALUE) {
+            if (previousListUs - convertedUs > MAX_LIST_DELAY_US) {
+                clockOffsetUs = previousListUs - listedStartUs;
             }
-            return Math.max(byClockUs, currentUs);
+            return Math.max(convertedUs, previousListUs);
         }
         // A server that the remembered list lacks started after that list, however old its start looks.
-        boolean started = kind != ListKind.REMEMBERED && remembers;
-        return started && nowUs - byClockUs >= rampUs ? nowUs : byClockUs;
+        boolean startedLater = kind != ListKind.REMEMBERED && hasRememberedServers;
+        return startedLater && nowUs - convertedUs >= coldUs ? nowUs : convertedUs;
     }
 
     /**
      * Applies a new clock offset to the starts kept so far. A start only ever moves to a later time, so that
      * corrections from what this process observed stay in force.
      */
-    private void placeAnew(long nowUs, List<Server> moved) {
+    private void applyClockOffset(long nowUs, List<Server> corrected) {
         starts.replaceAll((id, start) -> {
-            long toldUs = start.line.startedAtUs();
-            long placedUs = Math.min(nowUs, toldUs + offsetUs);
-            if (toldUs <= 0 || nowUs - placedUs >= rampUs || placedUs <= start.placedUs) {
+            long listedStartUs = start.listed.startedAtUs();
+            long localStartUs = Math.min(nowUs, listedStartUs + clockOffsetUs);
+            if (listedStartUs <= 0 || nowUs - localStartUs >= coldUs || localStartUs <= start.localStartUs) {
                 return start;
             }
-            Start later = new Start(start.line, placedUs);
-            moved.add(later.placed());
-            return later;
+            KnownStart correctedStart = new KnownStart(start.listed, localStartUs);
+            corrected.add(correctedStart.withLocalStart());
+            return correctedStart;
         });
     }
 }
--- a/src/main/java/larkworks/proxy/Warmup.java
+++ b/src/main/java/larkworks/proxy/Warmup.java
@@ -16,50 +16,51 @@
  */
 final class Warmup implements Driver.Client {
 
-    private static final int REQUESTS = 20;
+    private static final int REQUEST_COUNT = 20;
     /** Maximum duration of the warm-up; the start goes on after it in any case. */
-    private static final long MOST_MS = 500;
+    private static final long MAX_DURATION_MS = 500;
 
     private final Clock clock = new Clock();
     private final EventLoop loop;
     private final BackendPool pool;
     private final Driver driver;
-    private final Runnable done;
-    private int left = REQUESTS;
+    private final Runnable onFinished;
+    private int remainingRequests = REQUEST_COUNT;
 
-    private Warmup(Config config, EventLoop loop, Sockets sockets, Runnable done) {
+    private Warmup(Config config, EventLoop loop, Sockets sockets, Runnable onFinished) {
         this.loop = loop;
-        this.done = done;
+        this.onFinished = onFinished;
         this.pool = new BackendPool(loop, sockets, config.connectTimeoutUs(), config.keepAliveUs());
         this.driver = new Driver(config, clock, loop, pool);
     }
 
-    /** Starts the warm-up; {@code done} runs once at its end, on the loop. */
-    static void run(Config config, EventLoop loop, Sockets sockets, InetSocketAddress self, Runnable done) {
-        Warmup warmup = new Warmup(config, loop, sockets, done);
+    /** Starts the warm-up; {@code onFinished} runs once at its end, on the loop. */
+    static void run(Config config, EventLoop loop, Sockets sockets, InetSocketAddress listener,
+            Runnable onFinished) {
+        Warmup warmup = new Warmup(config, loop, sockets, onFinished);
         warmup.driver.listChanged(ListKind.REMEMBERED, List.of(new Listing.Entry(
-                new Server("self", 0, 0, 0, 1, ServerStatus.UP), self)), warmup.clock.nowUs(),
+                new Server("self", 0, 0, 0, 1, ServerStatus.UP), listener)), warmup.clock.nowUs(),
                 Long.MIN_VALUE);
-        loop.schedule(() -> warmup.end(), MOST_MS, TimeUnit.MILLISECONDS);
-        warmup.next();
+        loop.schedule(() -> warmup.finish(), MAX_DURATION_MS, TimeUnit.MILLISECONDS);
+        warmup.sendNext();
     }
 
-    private void next() {
-        if (--left == 0) {
-            end();
-        } else if (left > 0) {
+    private void sendNext() {
+        if (--remainingRequests == 0) {
+            finish();
+        } else if (remainingRequests > 0) {
             driver.request(new Driver.Inbound("warm-up", HttpMethod.GET, "/health/live", null, new byte[0],
-                    null, null, 0, 0, MOST_MS * 1000, 0, false, clock.nowUs()), this);
+                    null, null, 0, 0, MAX_DURATION_MS * 1000, 0, false, clock.nowUs()), this);
         }
     }
 
-    private void end() {
-        if (left >= 0) {
-            left = -1;
+    private void finish() {
+        if (remainingRequests >= 0) {
+            remainingRequests = -1;
             while (pool.evict()) {
                 // Each call closes one idle connection.
             }
-            done.run();
+            onFinished.run();
         }
     }
 
@@ -71,7 +72,7 @@
     @Override
     public void served(byte[] body, String type, Driver.Delivery delivery) {
         delivery.ended(true);
-        loop.execute(this::next);
+        loop.execute(this::sendNext);
     }
 
     @Override
@@ -83,12 +84,12 @@
     @Override
     public void refused(long retryAfterUs, Driver.Delivery delivery) {
         delivery.ended(true);
-        loop.execute(this::next);
+        loop.execute(this::sendNext);
     }
 
     @Override
     public void failed(Driver.Delivery delivery) {
         delivery.ended(true);
-        loop.execute(this::next);
+        loop.execute(this::sendNext);
     }
 }
