--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -107,7 +107,8 @@
     private long listCurrentUs = Long.MIN_VALUE;
     /**
      * The earliest time, by the driver's clock, at which this proxy may have missed a change. With discovery
-     * {@code pushed}, a change counts as delivered once discovery has it, whether or not the proxy asked.
+     * {@code pushed}, by the platform's terms a change counts as delivered once discovery has it, whether or
+     * not the proxy has asked.
      * {@code Long.MAX_VALUE} if no change can have been missed.
      */
     private long missedSinceUs;
--- a/src/main/java/larkworks/proxy/DiscoveryWaits.java
+++ b/src/main/java/larkworks/proxy/DiscoveryWaits.java
@@ -15,7 +15,7 @@
      * after a failed call must be over.
      */
     private static final long WATCH_WAIT_MS = 3_250;
-    /** A watch times out so long after the end of its wait. */
+    /** A watch times out this long after the end of its wait. */
     private static final long WATCH_TIMEOUT_MARGIN_MS = 1_250;
     /** The wait of the first call at an address; short, as the proxy's start depends on the answer. */
     private static final long FIRST_CALL_WAIT_MS = 1;
--- a/src/main/java/larkworks/proxy/ListFreshness.java
+++ b/src/main/java/larkworks/proxy/ListFreshness.java
@@ -22,7 +22,10 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
-    /** A change counts as delivered to the proxy so long after discovery had it. */
+    /**
+     * By the platform's terms a change counts as delivered to the proxy this long after discovery had it,
+     * even if no call has fetched it.
+     */
     private static final long DELIVERED_AFTER_US = 6_000_000;
 
     private volatile State state = State.FRESH;
--- a/src/main/java/larkworks/proxy/ListingReader.java
+++ b/src/main/java/larkworks/proxy/ListingReader.java
@@ -64,7 +64,7 @@
     /**
      * Parses the next part of the text. The caller keeps the buffer and releases it.
      *
-     * @throws Unreadable if the text so far can't be the start of a valid list
+     * @throws InvalidListException if the text so far can't be the start of a valid list
      */
     void read(ByteBuf part) throws InvalidListException {
         bytesRead += part.readableBytes();
@@ -86,7 +86,7 @@
     /**
      * Returns the list, after its last part was read.
      *
-     * @throws Unreadable if the text is truncated or not a valid list
+     * @throws InvalidListException if the text is truncated or not a valid list
      */
     Listing finish() throws InvalidListException {
         try {
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -49,7 +49,7 @@
     private static final long MIN_KILL_DELAY_MS = 700;
     private static final long MAX_DEADLINE_MS = 3_000;
     /**
-     * Requests that arrive late in the shutdown are answered so long before SIGKILL: time limits have 50 ms
+     * Requests that arrive late in the shutdown are answered this long before SIGKILL: time limits have 50 ms
      * of slack on sockets, and the process may pause for 150 ms between reading its clock and writing.
      */
     private static final long KILL_MARGIN_MS = 200;
--- a/src/main/java/larkworks/proxy/RolloutClient.java
+++ b/src/main/java/larkworks/proxy/RolloutClient.java
@@ -167,7 +167,8 @@
                 throw new Unusable("rollout", List.of("classes and tenants must stay as they are"));
             }
             driver.adopt(settings);
-            LOG.atInfo().addKeyValue("from", version).addKeyValue("to", target.version()).log("adopted");
+            LOG.atInfo().addKeyValue("from", version).addKeyValue("to", target.version())
+                    .log("configuration version applied");
             version = target.version();
             refusedVersion = 0;
             refusalReason = "";
