--- a/src/main/java/larkworks/proxy/AdminServer.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -41,7 +41,7 @@
  */
 final class AdminServer {
 
-    private static final String METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8";
+    private static final String METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
     /** Maximum connections at a time; beyond it the one is closed that has sent nothing for longest. */
     static final int MAX_CONNECTIONS = 16;
     private static final int MAX_BODY_BYTES = 4096;
@@ -145,7 +145,7 @@
         };
     }
 
-    private static FullHttpResponse response(Reply reply) {
+    private static FullHttpResponse toResponse(Reply reply) {
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, reply.status(),
                 Unpooled.copiedBuffer(reply.text() + "\n", StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, reply.type())
@@ -166,7 +166,7 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext context, HttpMessage oversized) {
-            lingeringClose.close(context.channel(), response(
+            lingeringClose.close(context.channel(), toResponse(
                     new Reply(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")));
         }
     }
@@ -194,11 +194,11 @@
             if (meters != null && request.uri().equals("/metrics")
                     && request.method().equals(HttpMethod.GET)) {
                 Channel channel = context.channel();
-                meters.scrape(text -> loop.execute(() -> lingeringClose.close(channel, response(
-                        new Reply(HttpResponseStatus.OK, METRICS_TYPE, text)))));
+                meters.scrape(text -> loop.execute(() -> lingeringClose.close(channel, toResponse(
+                        new Reply(HttpResponseStatus.OK, METRICS_CONTENT_TYPE, text)))));
                 return;
             }
-            lingeringClose.close(context.channel(), response(replyTo(request)));
+            lingeringClose.close(context.channel(), toResponse(replyTo(request)));
         }
 
         @Override
--- a/src/main/java/larkworks/proxy/Config.java
+++ b/src/main/java/larkworks/proxy/Config.java
@@ -90,7 +90,7 @@
         }
         values.putAll(flags);
         Section top = Section.top(values);
-        Config config = ofTable(top, environment.getOrDefault("TMPDIR", ""));
+        Config config = fromTable(top, environment.getOrDefault("TMPDIR", ""));
         if (ConfigFile.isToml(Path.of(file))) {
             top.refuseUnknown();
         }
@@ -100,7 +100,7 @@
         return config;
     }
 
-    private static Config ofTable(Section top, String stateFolder) {
+    private static Config fromTable(Section top, String stateFolder) {
         InetSocketAddress listen = top.address("listen");
         InetSocketAddress admin = top.optionalAddress("admin_addr");
         if (admin != null && admin.equals(listen) && admin.getPort() != 0) {
@@ -199,7 +199,7 @@
     /**
      * Returns the keys whose values differ in {@code next} and that a running proxy can't apply at SIGHUP.
      */
-    List<String> restartNeeded(Config next) {
+    List<String> keysNeedingRestart(Config next) {
         List<String> keys = new ArrayList<>();
         if (!listen.equals(next.listen) && listen.getPort() != 0) {
             keys.add("listen");
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -372,9 +372,9 @@
         } else {
             missedSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
             // Jitter keeps proxies from returning all at once to a service that was down.
-            long afterMs = consecutiveFailures == 1 ? random.nextLong(MAX_FAIL_OVER_DELAY_MS + 1)
+            long delayMs = consecutiveFailures == 1 ? random.nextLong(MAX_FAIL_OVER_DELAY_MS + 1)
                     : retryPauseMs * 3 / 4 + random.nextLong(retryPauseMs / 2 + 1);
-            scheduleCall(afterMs);
+            scheduleCall(delayMs);
             retryPauseMs = Math.min(2 * retryPauseMs, maxRetryPauseMs);
         }
         markFirstCallEnded();
@@ -457,10 +457,10 @@
         }
         long deliveredSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
         missedSinceUs = Long.MAX_VALUE;
-        long previousCurrentUs = listCurrentUs;
+        long previousListUs = listCurrentUs;
         listCurrentUs = answeredCallStartedUs;
         driver.listChanged(listing.isFull() ? ListKind.WHOLE : ListKind.CHANGES, listing.entries(),
-                deliveredSinceUs, previousCurrentUs);
+                deliveredSinceUs, previousListUs);
         markFirstCallEnded();
     }
 
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -311,7 +311,7 @@
     private synchronized void reload(String file, Map<String, String> flags) {
         try {
             Config newConfig = Config.read(file, System.getenv(), flags);
-            List<String> keys = config.restartNeeded(newConfig);
+            List<String> keys = config.keysNeedingRestart(newConfig);
             if (!keys.isEmpty()) {
                 LOG.atWarn().addKeyValue("keys", keys)
                         .log("changes of these keys need a restart and were not applied");
--- a/src/main/java/larkworks/proxy/MaintenanceStore.java
+++ b/src/main/java/larkworks/proxy/MaintenanceStore.java
@@ -28,20 +28,20 @@
         return Base64.getUrlEncoder().withoutPadding().encodeToString(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private Path file(String backend) {
+    private Path backendFile(String backend) {
         return folder.resolve(FILE_PREFIX + encode(backend));
     }
 
     /** Stores that the backend is in maintenance; visible to other processes once this returns. */
     void add(String backend) throws IOException {
-        Path file = file(backend);
+        Path file = backendFile(backend);
         if (!Files.exists(file)) {
             Files.write(file, new byte[0]);
         }
     }
 
     void remove(String backend) throws IOException {
-        Files.deleteIfExists(file(backend));
+        Files.deleteIfExists(backendFile(backend));
     }
 
     /** Returns the ids of all backends in maintenance. */
--- a/src/main/java/larkworks/proxy/ProcessLock.java
+++ b/src/main/java/larkworks/proxy/ProcessLock.java
@@ -32,13 +32,13 @@
 
     /** Returns whether another process is alive, and removes files of processes that have ended. */
     boolean isOtherProcessAlive() throws IOException {
-        boolean otherAlive = false;
+        boolean isAnyAlive = false;
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
             for (Path file : files) {
-                otherAlive |= !file.equals(ownFile) && isLocked(file);
+                isAnyAlive |= !file.equals(ownFile) && isLocked(file);
             }
         }
-        return otherAlive;
+        return isAnyAlive;
     }
 
     private static boolean isLocked(Path file) throws IOException {
--- a/src/main/java/larkworks/proxy/RolloutClient.java
+++ b/src/main/java/larkworks/proxy/RolloutClient.java
@@ -54,7 +54,7 @@
     private static final long ANSWER_TIMEOUT_MS = 2_000;
 
     /** Reads the settings from the configuration file with a merge patch applied to it. */
-    interface SettingsReader {
+    interface SettingsSource {
         Settings settings(JsonNode patch) throws Unusable;
     }
 
@@ -63,7 +63,7 @@
     private final String name;
     private final List<InetSocketAddress> addresses;
     private final long reportIntervalMs;
-    private final SettingsReader settingsReader;
+    private final SettingsSource settingsSource;
     private final Settings initialSettings;
     private int addressIndex;
     /** The version that this proxy runs; 0 for the configuration file without a patch. */
@@ -73,13 +73,13 @@
     private Future<?> nextReport;
     private boolean closed;
 
-    RolloutClient(Config config, EventLoop loop, Driver driver, SettingsReader settingsReader) {
+    RolloutClient(Config config, EventLoop loop, Driver driver, SettingsSource settingsSource) {
         this.loop = loop;
         this.driver = driver;
         this.name = config.name();
         this.addresses = config.discovery();
         this.reportIntervalMs = config.rolloutReportMs();
-        this.settingsReader = settingsReader;
+        this.settingsSource = settingsSource;
         this.initialSettings = config.settings();
     }
 
@@ -123,12 +123,12 @@
     private void writeReport(Channel channel, InetSocketAddress address) throws IOException {
         byte[] body = JSON.writeValueAsBytes(new Report(version, driver.requestsEnded(),
                 driver.requestsFailed(), refusedVersion, refusalReason, driver.resting()));
-        var call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT,
+        var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT,
                 "/registry/v1/rollout/reports/" + name, Unpooled.wrappedBuffer(body));
-        call.headers().set(HttpHeaderNames.HOST, Addresses.text(address))
+        request.headers().set(HttpHeaderNames.HOST, Addresses.text(address))
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        channel.writeAndFlush(call);
+        channel.writeAndFlush(request);
     }
 
     private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
@@ -162,7 +162,7 @@
             return;
         }
         try {
-            Settings settings = settingsReader.settings(target.patch());
+            Settings settings = settingsSource.settings(target.patch());
             if (!classAndTenantNames(settings).equals(classAndTenantNames(initialSettings))) {
                 throw new Unusable("rollout", List.of("classes and tenants must stay as they are"));
             }
