--- a/src/main/java/larkworks/TurnOrder.java
+++ b/src/main/java/larkworks/AssignmentOrder.java
@@ -6,7 +6,7 @@
  * Servers in the order of their turns, the earliest assigned first, and those of them that are in the subset
  * apart. In nearly every choice one of the first will do, so that a choice does not grow with the fleet.
  */
-final class TurnOrder {
+final class AssignmentOrder {
 
     private final TreeSet<Backend> all = new TreeSet<>(Backend.TURN);
     private final TreeSet<Backend> subset = new TreeSet<>(Backend.TURN);
--- a/src/main/java/larkworks/Backend.java
+++ b/src/main/java/larkworks/Backend.java
@@ -29,14 +29,14 @@
     /** By then it may be used, however long its turn: a server brought back is soon to be seen to work. */
     long entryByUs = Long.MAX_VALUE;
     boolean up;
-    /** Whether it takes turns at this copy. Changed through {@link TurnOrder} alone. */
+    /** Whether it takes turns at this copy. Changed through {@link AssignmentOrder} alone. */
     boolean inSubset;
     /** What all copies' budget leaves this one; null where there is none. */
-    Allowance budget;
+    BudgetShare budget;
     int inFlight;
     /**
      * When it was last assigned, later by a part of a round for a slow server, earlier for a quick one.
-     * Below all times, in random order, while never used. Changed through {@link TurnOrder} alone.
+     * Below all times, in random order, while never used. Changed through {@link AssignmentOrder} alone.
      */
     long turnAtUs;
     int failures;
--- a/src/main/java/larkworks/Balancer.java
+++ b/src/main/java/larkworks/Balancer.java
@@ -113,24 +113,26 @@
      * What the deployment allows.
      *
      * @param maxAttempts attempts for one request, at least 1
-     * @param cancel whether attempts may be cancelled
-     * @param probes whether servers may be asked for their load
-     * @param secondCopies whether two attempts of a request may be out together
+     * @param canCancel whether attempts may be cancelled
+     * @param canProbe whether servers may be asked for their load
+     * @param canHedge whether two attempts of a request may be out together
      * @param maxRetryAfterUs the longest advice that clients heed; 0 where they heed none
      */
-    record Limits(int maxAttempts, boolean cancel, boolean probes, boolean secondCopies,
+    record Limits(int maxAttempts, boolean canCancel, boolean canProbe, boolean canHedge,
             long maxRetryAfterUs) { }
 
     /**
      * The figures of the rules on draining and on cold servers.
      *
      * @param drainGraceUs how long after word that a server drains or is gone it may still be sent something
-     * @param askWithinUs longest time without asking discovery where it must be asked; 0 where it need not be
+     * @param maxDiscoveryIntervalUs longest time without a query to discovery where queries are required;
+     *     0 where they are not
      * @param coldFrom share of its capacity a server starts with, above 0, at most 1
      * @param coldUs how long a server stays cold at most
      * @param tipMultiple a cold server sent more than this multiple of what it can do falls over
      */
-    record Rules(long drainGraceUs, long askWithinUs, double coldFrom, long coldUs, double tipMultiple) { }
+    record Rules(long drainGraceUs, long maxDiscoveryIntervalUs, double coldFrom, long coldUs,
+            double tipMultiple) { }
 
     /**
      * What one instance is told at its start.
@@ -146,13 +148,13 @@
      * @param copies instances that send to the same tier, this one included; at least 1
      * @param tier the tier this instance sends to, from 0
      * @param tiers tiers in all
-     * @param watch true where discovery must be asked for changes
+     * @param watchesDiscovery true where discovery must be asked for changes
      * @param overQuotaWorth part of the worth left for requests beyond a tenant's quota, 0 to 1
      * @param tickUs shortest time between two events of this instance
      */
     record Settings(List<RequestClass> classes, List<Tenant> tenants, Limits limits, Rules rules,
             double probePrice, double crossZonePrice, int zone, int copy, int copies, int tier, int tiers,
-            boolean watch, double overQuotaWorth, long tickUs) { }
+            boolean watchesDiscovery, double overQuotaWorth, long tickUs) { }
 
     /**
      * One line of a list of servers.
@@ -162,9 +164,9 @@
      * @param zone the zone it is in
      * @param status whether it may be sent new requests
      * @param group the cell it shares its memory of keys with
-     * @param size what it can do next to the other servers, above 0; 1 for all where unknown
+     * @param weight what it can do next to the other servers, above 0; 1 for all where unknown
      */
-    record Server(String id, long startedAtUs, int zone, int group, double size, ServerStatus status) { }
+    record Server(String id, long startedAtUs, int zone, int group, double weight, ServerStatus status) { }
 
     /**
      * A request taken over from a client.
@@ -174,16 +176,17 @@
      * @param tenant its tenant, 0 where there are none
      * @param timeLeftUs until the client gives up this try
      * @param workUs expected work on a standard core; 0 where unknown
-     * @param clientRetry true where the client says that it tries again
-     * @param uploading true where its body is still coming: its time begins with {@link Balancer#uploaded}
+     * @param isClientRetry true where the client says that it tries again
+     * @param isUploading true while its body is still being received; its time begins with
+     *     {@link Balancer#uploadCompleted}
      */
     record Request(String id, int requestClass, int tenant, long timeLeftUs, long workUs,
-            boolean clientRetry, boolean uploading) {
+            boolean isClientRetry, boolean isUploading) {
 
         /** A request that has come whole. */
         public Request(String id, int requestClass, int tenant, long timeLeftUs, long workUs,
-                boolean clientRetry) {
-            this(id, requestClass, tenant, timeLeftUs, workUs, clientRetry, false);
+                boolean isClientRetry) {
+            this(id, requestClass, tenant, timeLeftUs, workUs, isClientRetry, false);
         }
     }
 
@@ -220,13 +223,13 @@
         void watchServers();
 
         /** What this copy holds against a server until that time, or, where it is past, no more. */
-        default void verdict(String server, Verdict verdict, long untilUs) { }
+        default void reportVerdict(String server, Verdict verdict, long untilUs) { }
 
         /** A call went to a server for which there is a budget, or would have if that were not spent. */
-        default void serverBudget(String server, boolean spent) { }
+        default void reportServerBudgetUse(String server, boolean granted) { }
 
         /** A request was taken of a class for which there is a budget, or refused as that is spent. */
-        default void classBudget(int requestClass, boolean spent) { }
+        default void reportClassBudgetUse(int requestClass, boolean granted) { }
 
         /** A line for the operator. */
         void log(String text);
@@ -239,7 +242,7 @@
      * The operator's word that a server is to be left out from now on, or may serve again. It holds against
      * whatever the list says, and for servers not listed yet; said twice it says no more than once.
      */
-    void maintenance(long nowUs, String server, boolean out);
+    void maintenanceChanged(long nowUs, String server, boolean inMaintenance);
 
     /** Another copy holds this against a server until that time, or, where it is past, no more. */
     void peerVerdict(long nowUs, String server, Verdict verdict, long untilUs);
@@ -248,16 +251,16 @@
      * So many calls may go to a server until that time, and none after until more is said; {@code untilUs}
      * of 0 ends the budget. It may come before the server is listed.
      */
-    void serverBudget(long nowUs, String server, long left, long untilUs);
+    void serverBudgetChanged(long nowUs, String server, long left, long untilUs);
 
     /** So many requests of a class may be taken until that time, and none after until more is said. */
-    void classBudget(long nowUs, int requestClass, long left, long untilUs);
+    void classBudgetChanged(long nowUs, int requestClass, long left, long untilUs);
 
     /**
      * Requests of a class go first to these servers, while one of them has none of this copy's calls in
      * flight.
      */
-    void affinity(long nowUs, int requestClass, Collection<String> servers);
+    void affinityChanged(long nowUs, int requestClass, Collection<String> servers);
 
     /** A call to discovery failed or its subscription broke; the list held stays in force. */
     void discoveryFailed(long nowUs);
@@ -266,10 +269,10 @@
     void request(long nowUs, Request request);
 
     /** The last byte of a request's body has come: its time begins, and so does any server's work on it. */
-    void uploaded(long nowUs, String request);
+    void uploadCompleted(long nowUs, String request);
 
     /** The first part of a request's body is no longer held: it can't be sent once more. */
-    void bodySpent(long nowUs, String request);
+    void bodyDiscarded(long nowUs, String request);
 
     /**
      * An attempt ended.
--- a/src/main/java/larkworks/Allowance.java
+++ b/src/main/java/larkworks/BudgetShare.java
@@ -1,11 +1,11 @@
 package larkworks;
 
 /** So many calls, until a time; of a budget that all copies share. */
-final class Allowance {
+final class BudgetShare {
     private long left;
     private final long untilUs;
 
-    Allowance(long left, long untilUs) {
+    BudgetShare(long left, long untilUs) {
         this.left = left;
         this.untilUs = untilUs;
     }
--- a/src/main/java/larkworks/Call.java
+++ b/src/main/java/larkworks/Call.java
@@ -37,7 +37,7 @@
         this.endAtUs = endAtUs;
         this.size = size;
         this.deadlineUs = nowUs + request.timeLeftUs();
-        this.uploading = request.uploading();
+        this.uploading = request.isUploading();
     }
 
     /** What is left of its time; all of it while its body is still coming, unless that takes longer still. */
--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -107,7 +107,7 @@
     private final Map<String, Backend> byId = new HashMap<>();
     /** All servers, in the order of {@link Backend#RING}. */
     private final List<Backend> servers = new ArrayList<>();
-    private final TurnOrder order = new TurnOrder();
+    private final AssignmentOrder order = new AssignmentOrder();
     /** The servers that take turns here, see {@link #chooseSubset}; others serve while none of these can. */
     private final List<Backend> subset = new ArrayList<>();
     /** Those of them that are cold. */
@@ -115,7 +115,7 @@
     /** Servers that a probe found idle, until its report has grown old. */
     private final List<Backend> foundIdle = new ArrayList<>();
     /** Servers looked at so far to choose one for a call or a probe. */
-    private long serversLookedAt;
+    private long serversExamined;
     /** Whether servers came, went or changed their size since the subset was chosen. */
     private boolean reshaped = true;
     /** When the next server returns, by the last look at all of them, which is taken once an event. */
@@ -136,7 +136,7 @@
     private double meanCrowd;
     /** Calls sent that are neither ended nor late, oldest first. */
     private final ArrayDeque<Call> pending = new ArrayDeque<>();
-    private final Tally tally;
+    private final RecentCallCounts tally;
     private boolean jam;
     /** Share of errors among all latest answers. */
     private double errors;
@@ -169,8 +169,8 @@
     /** When what each tenant sent so far would have come, had it come evenly at the rate of its share. */
     private final double[] sharesAtUs;
     /** The fleet's budgets for servers, listed or not, and by class; the servers that classes go to first. */
-    private final Map<String, Allowance> serverBudgets = new HashMap<>();
-    private final Allowance[] classBudgets;
+    private final Map<String, BudgetShare> serverBudgets = new HashMap<>();
+    private final BudgetShare[] classBudgets;
     private final List<Collection<String>> affinities = new ArrayList<>();
     private double gapUs;
     private long lastSendUs = Long.MIN_VALUE;
@@ -189,15 +189,15 @@
         this.actions = Objects.requireNonNull(actions, "actions");
         this.random = new SplittableRandom(seed);
         this.kindUs = new double[settings.classes().size()];
-        this.classBudgets = new Allowance[settings.classes().size()];
+        this.classBudgets = new BudgetShare[settings.classes().size()];
         settings.classes().forEach(c -> affinities.add(List.of()));
         this.sharesAtUs = new double[settings.tenants().size()];
         Arrays.fill(sharesAtUs, Long.MIN_VALUE);
-        this.tally = new Tally(
+        this.tally = new RecentCallCounts(
                 settings.classes().stream().mapToLong(RequestClass::aimUs).max().orElseThrow());
         double price = settings.probePrice() * settings.tiers();
         double affordable = price > 0 ? PROBE_SPEND / price : PROBES_AT_ONCE * PROBE_ROUNDS;
-        this.probesEarned = settings.limits().probes() && affordable >= PROBES_AT_ONCE
+        this.probesEarned = settings.limits().canProbe() && affordable >= PROBES_AT_ONCE
                 ? Math.min(affordable, PROBES_AT_ONCE * PROBE_ROUNDS) : 0;
         this.probes = probesEarned * PROBE_ROUNDS;
         this.probeUs = settings.tickUs();
@@ -216,8 +216,8 @@
         settle(nowUs);
         if (!begun) {
             begun = true;
-            askAtUs = settings.watch() ? nowUs : Long.MAX_VALUE;
-        } else if (settings.watch()) {
+            askAtUs = settings.watchesDiscovery() ? nowUs : Long.MAX_VALUE;
+        } else if (settings.watchesDiscovery()) {
             watching = true;
             askFailures = 0;
             askAtUs = Long.MAX_VALUE;
@@ -258,12 +258,12 @@
     }
 
     @Override
-    public void maintenance(long nowUs, String id, boolean leave) {
-        if (leave == out.containsKey(id)) {
+    public void maintenanceChanged(long nowUs, String id, boolean inMaintenance) {
+        if (inMaintenance == out.containsKey(id)) {
             return;
         }
         Backend s = byId.get(id);
-        if (leave) {
+        if (inMaintenance) {
             out.put(id, s == null ? null
                     : new Server(id, s.startedAtUs, s.zone, s.group, s.size, ServerStatus.UP));
             if (s != null) {
@@ -279,7 +279,8 @@
             }
         }
         settle(nowUs);
-        actions.log("server " + id + (leave ? " is left out" : " may serve again") + ", the operator says");
+        actions.log("server " + id + (inMaintenance ? " is left out" : " may serve again")
+                + ", the operator says");
         advance(nowUs);
     }
 
@@ -309,11 +310,11 @@
             s.budget = serverBudgets.get(line.id());
             enter(s);
         }
-        reshaped |= s.size != line.size();
+        reshaped |= s.size != line.weight();
         s.startedAtUs = line.startedAtUs();
         s.zone = line.zone();
         s.group = line.group();
-        s.size = line.size();
+        s.size = line.weight();
         if (fresh && (begun || share(s, nowUs) < 1)) {
             s.entryFromUs = nowUs;
             s.entryTurns = random.nextDouble();
@@ -422,7 +423,8 @@
     public void discoveryFailed(long nowUs) {
         watching = false;
         long pause = ASK_AGAIN_US << Math.min(askFailures++, 6);
-        long most = settings.rules().askWithinUs() > 0 ? settings.rules().askWithinUs() / 4 : pause;
+        long maxIntervalUs = settings.rules().maxDiscoveryIntervalUs();
+        long most = maxIntervalUs > 0 ? maxIntervalUs / 4 : pause;
         askAtUs = nowUs + NEW_WATCH_US + (long) (Math.min(pause, most) * random.nextDouble());
         advance(nowUs);
     }
@@ -451,8 +453,8 @@
     }
 
     @Override
-    public void serverBudget(long nowUs, String id, long left, long untilUs) {
-        Allowance budget = untilUs == 0 ? null : new Allowance(left, untilUs);
+    public void serverBudgetChanged(long nowUs, String id, long left, long untilUs) {
+        BudgetShare budget = untilUs == 0 ? null : new BudgetShare(left, untilUs);
         serverBudgets.compute(id, (key, before) -> budget);
         if (byId.containsKey(id)) {
             byId.get(id).budget = budget;
@@ -461,21 +463,21 @@
     }
 
     @Override
-    public void classBudget(long nowUs, int requestClass, long left, long untilUs) {
-        classBudgets[requestClass] = new Allowance(left, untilUs);
+    public void classBudgetChanged(long nowUs, int requestClass, long left, long untilUs) {
+        classBudgets[requestClass] = new BudgetShare(left, untilUs);
     }
 
     @Override
-    public void affinity(long nowUs, int requestClass, Collection<String> ids) {
+    public void affinityChanged(long nowUs, int requestClass, Collection<String> ids) {
         affinities.set(requestClass, List.copyOf(ids));
     }
 
     /** Whether a request lies beyond what the fleet may take of its class, by this copy's part of that. */
     private boolean beyondBudget(long nowUs, int requestClass) {
-        Allowance budget = classBudgets[requestClass];
+        BudgetShare budget = classBudgets[requestClass];
         boolean taken = budget == null || budget.take(nowUs);
         if (budget != null) {
-            actions.classBudget(requestClass, taken);
+            actions.reportClassBudgetUse(requestClass, taken);
         }
         return !taken;
     }
@@ -494,7 +496,7 @@
         }
         size = size > 1 ? 1 + (size - 1) * HOPE : size;
         long usefulUs = kind.lateWorth() > 0 ? kind.deadlineUs() : kind.aimUs();
-        if (!request.clientRetry()) {
+        if (!request.isClientRetry()) {
             firstTryUs = request.timeLeftUs();
         } else if (Math.abs(request.timeLeftUs() - firstTryUs) > settings.tickUs() * 10) {
             // The aim counts from the first try, and a last try has all that is left of the client's time.
@@ -628,7 +630,7 @@
         }
         call.out++;
         if (s.budget != null) {
-            actions.serverBudget(s.id, s.budget.take(nowUs));
+            actions.reportServerBudgetUse(s.id, s.budget.take(nowUs));
         }
         double late = Math.min(paceUs() * (slowness(s) / s.part - 1), MOST_LATE_US);
         late += settings.crossZonePrice() > 0 && s.zone != settings.zone() ? paceUs() * FAR_ROUNDS : 0;
@@ -650,7 +652,7 @@
     }
 
     @Override
-    public void uploaded(long nowUs, String id) {
+    public void uploadCompleted(long nowUs, String id) {
         Call call = calls.get(id);
         if (call == null || !call.uploading) {
             return;
@@ -664,7 +666,7 @@
     }
 
     @Override
-    public void bodySpent(long nowUs, String id) {
+    public void bodyDiscarded(long nowUs, String id) {
         Call call = calls.get(id);
         if (call != null) {
             call.spent = true;
@@ -706,7 +708,7 @@
     private Backend best(long nowUs, Iterable<Backend> inOrder, Predicate<Backend> allowed) {
         Backend best = null;
         for (Backend s : inOrder) {
-            serversLookedAt++;
+            serversExamined++;
             if (!allowed.test(s)) {
                 continue;
             }
@@ -719,8 +721,8 @@
     }
 
     /** Servers looked at so far to choose one: what the choices cost must not grow with the fleet. */
-    long serversLookedAt() {
-        return serversLookedAt;
+    long serversExamined() {
+        return serversExamined;
     }
 
     /** Whether no server whose turn is later can be better. */
@@ -742,7 +744,7 @@
     private boolean affordable(long nowUs, Backend s) {
         boolean any = s.budget == null || s.budget.any(nowUs);
         if (!any) {
-            actions.serverBudget(s.id, false);
+            actions.reportServerBudgetUse(s.id, false);
         }
         return any;
     }
@@ -835,7 +837,7 @@
     /** Whether the call may be sent once more, after its attempts so far. */
     private boolean mayRepeat(long nowUs, Call call) {
         if (call.spent || call.attempts.size() >= settings.limits().maxAttempts() || call.leftUs(nowUs) <= 0
-                || call.out > 0 && !settings.limits().secondCopies()) {
+                || call.out > 0 && !settings.limits().canHedge()) {
             return false;
         }
         Attempt mayHaveRun = mayHaveRun(call);
@@ -939,13 +941,13 @@
             s.failures = 0;
             s.silences = 0;
             if (s.demotedUntilUs > nowUs) {
-                actions.verdict(s.id, Verdict.DEMOTED, nowUs);
+                actions.reportVerdict(s.id, Verdict.DEMOTED, nowUs);
             }
             s.demotedUntilUs = Long.MIN_VALUE;
         } else if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
             s.failures++;
             s.demotedUntilUs = nowUs + FAIL_TIMEOUT_US;
-            actions.verdict(s.id, Verdict.DEMOTED, s.demotedUntilUs);
+            actions.reportVerdict(s.id, Verdict.DEMOTED, s.demotedUntilUs);
             if (s.failures >= MAX_FAILS) {
                 rest(nowUs, s, s.failures - MAX_FAILS, "takes no connections");
             }
@@ -954,7 +956,7 @@
 
     private void rest(long nowUs, Backend s, int before, String why) {
         s.restUntilUs = nowUs + (FAIL_TIMEOUT_US << Math.min(before, MOST_DOUBLINGS));
-        actions.verdict(s.id, Verdict.RESTS, s.restUntilUs);
+        actions.reportVerdict(s.id, Verdict.RESTS, s.restUntilUs);
         if (before == 0) {
             actions.log("server " + s.id + " rests: it " + why);
         }
@@ -1024,7 +1026,7 @@
     }
 
     private void cancelRest(Call call) {
-        for (int i = 0; i < call.attempts.size() && settings.limits().cancel(); i++) {
+        for (int i = 0; i < call.attempts.size() && settings.limits().canCancel(); i++) {
             if (call.attempts.get(i).out && !call.attempts.get(i).answering) {
                 actions.cancel(call.request.id(), i);
             }
--- a/src/main/java/larkworks/Tally.java
+++ b/src/main/java/larkworks/RecentCallCounts.java
@@ -1,14 +1,14 @@
 package larkworks;
 
 /** Calls of late that came to an end, or were turned away, and those of them served in time. */
-final class Tally {
+final class RecentCallCounts {
     private final double fadeUs;
     private long atUs;
     private double tried;
     private double served;
 
     /** What is {@code fadeUs} old counts for about a third of what is new. */
-    Tally(double fadeUs) {
+    RecentCallCounts(double fadeUs) {
         this.fadeUs = fadeUs;
     }
 
--- a/src/main/java/larkworks/SettingsCheck.java
+++ b/src/main/java/larkworks/SettingsCheck.java
@@ -40,7 +40,7 @@
         Rules rules = s.rules();
         need(rules != null, "rules", "missing");
         need(rules.drainGraceUs() >= 0, "rules.drainGraceUs", "must not be negative");
-        need(rules.askWithinUs() >= 0, "rules.askWithinUs", "must not be negative");
+        need(rules.maxDiscoveryIntervalUs() >= 0, "rules.maxDiscoveryIntervalUs", "must not be negative");
         need(rules.coldFrom() > 0 && rules.coldFrom() <= 1, "rules.coldFrom", "must lie above 0, up to 1");
         need(rules.coldUs() >= 0, "rules.coldUs", "must not be negative");
         need(rules.tipMultiple() > 0, "rules.tipMultiple", "must be above 0");
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -118,7 +118,7 @@
     Discovery(Config config, EventLoop loop, Sockets sockets, Driver driver) {
         this.addresses = config.discovery();
         this.jitter = new SplittableRandom(config.seed());
-        this.asked = config.settings().watch();
+        this.asked = config.settings().watchesDiscovery();
         this.zones = config.zones();
         this.loop = loop;
         this.sockets = sockets;
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -217,7 +217,7 @@
         }
 
         @Override
-        public void verdict(String server, Verdict verdict, long untilUs) {
+        public void reportVerdict(String server, Verdict verdict, long untilUs) {
             if (verdict == Verdict.RESTS) {
                 resting.put(server, untilUs);
             }
@@ -229,7 +229,7 @@
         }
 
         @Override
-        public void serverBudget(String server, boolean spent) {
+        public void reportServerBudgetUse(String server, boolean spent) {
             if (spent) {
                 shared.serverSpent(server);
             } else {
@@ -238,7 +238,7 @@
         }
 
         @Override
-        public void classBudget(int requestClass, boolean spent) {
+        public void reportClassBudgetUse(int requestClass, boolean spent) {
             String name = settings.classes().get(requestClass).name();
             if (spent) {
                 shared.classSpent(name);
@@ -276,7 +276,7 @@
             List<Server> servers = backends.values().stream().filter(b -> b.listed != null)
                     .map(b -> b.listed).toList();
             newest.balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, servers);
-            out.forEach(server -> newest.balancer.maintenance(clock.nowUs(), server, true));
+            out.forEach(server -> newest.balancer.maintenanceChanged(clock.nowUs(), server, true));
             if (shared != null) {
                 loop.execute(shared::renew);
             }
@@ -323,18 +323,18 @@
         @Override
         public void serverBudget(String server, long left, long untilMs) {
             // The newest alone: two modules with the same tokens would spend them twice.
-            enter(() -> newest.balancer.serverBudget(clock.nowUs(), server, left, untilMs * 1000));
+            enter(() -> newest.balancer.serverBudgetChanged(clock.nowUs(), server, left, untilMs * 1000));
         }
 
         @Override
         public void classBudget(String name, long left, long untilMs) {
-            enter(() -> newest.balancer.classBudget(clock.nowUs(), classNumber(name), left,
+            enter(() -> newest.balancer.classBudgetChanged(clock.nowUs(), classNumber(name), left,
                     untilMs * 1000));
         }
 
         @Override
         public void affinity(String name, Collection<String> servers) {
-            enter(() -> newest.balancer.affinity(clock.nowUs(), classNumber(name), servers));
+            enter(() -> newest.balancer.affinityChanged(clock.nowUs(), classNumber(name), servers));
         }
     }
 
@@ -486,7 +486,7 @@
         if (leave) {
             endConnecting(server);
         }
-        enter(() -> all(balancer -> balancer.maintenance(clock.nowUs(), server, leave)));
+        enter(() -> all(balancer -> balancer.maintenanceChanged(clock.nowUs(), server, leave)));
     }
 
     /** Ends an attempt that is out; the module hears of it once what goes on now is over. */
@@ -541,7 +541,7 @@
             armGuard(pending, now);
         } else {
             inbound.upload().onSpent(() -> enter(
-                    () -> pending.module.balancer.bodySpent(clock.nowUs(), pending.id)));
+                    () -> pending.module.balancer.bodyDiscarded(clock.nowUs(), pending.id)));
         }
         enter(() -> {
             try {
@@ -593,7 +593,7 @@
         armGuard(pending, now);
         pending.attempts.stream().filter(attempt -> !attempt.ended).forEach(attempt -> limit(attempt, now,
                 pending.deadlineUs));
-        enter(() -> pending.module.balancer.uploaded(clock.nowUs(), pending.id));
+        enter(() -> pending.module.balancer.uploadCompleted(clock.nowUs(), pending.id));
     }
 
     private void limit(UpstreamAttempt attempt, long now, long untilUs) {
--- a/src/main/java/larkworks/proxy/Listing.java
+++ b/src/main/java/larkworks/proxy/Listing.java
@@ -21,7 +21,7 @@
         /** The same backend, gone. */
         Entry gone() {
             return new Entry(new Server(server.id(), server.startedAtUs(), server.zone(), server.group(),
-                    server.size(), ServerStatus.GONE), null);
+                    server.weight(), ServerStatus.GONE), null);
         }
     }
 
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -26,7 +26,7 @@
     /** A line of the list, and its start on this process's clock. */
     private record Start(Server line, long placedUs) {
         Server placed() {
-            return new Server(line.id(), placedUs, line.zone(), line.group(), line.size(), line.status());
+            return new Server(line.id(), placedUs, line.zone(), line.group(), line.weight(), line.status());
         }
     }
 
--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -39,11 +39,11 @@
         for (int i = 0; i < FIRST_REQUESTS; i++) {
             serve(proxy);
         }
-        long before = proxy.logic.serversLookedAt();
+        long before = proxy.logic.serversExamined();
         for (int i = 0; i < REQUESTS; i++) {
             serve(proxy);
         }
-        long looks = proxy.logic.serversLookedAt() - before;
+        long looks = proxy.logic.serversExamined() - before;
         assertTrue(looks <= (long) MOST_LOOKS * REQUESTS, looks + " looks for " + REQUESTS + " calls");
     }
 }
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -1128,8 +1128,8 @@
 
         @Test
         void nothingGoesToAServerLeftOutWhateverTheListSays() {
-            p.logic.maintenance(p.now, "a", true);
-            p.logic.maintenance(p.now, "a", true);
+            p.logic.maintenanceChanged(p.now, "a", true);
+            p.logic.maintenanceChanged(p.now, "a", true);
             p.change("a", p.now, ServerStatus.UP);
             for (int i = 0; i < 12; i++) {
                 assertNotEquals("a", p.serve());
@@ -1143,10 +1143,10 @@
 
         @Test
         void oneCallBackUndoesTwoCallsOutAndTheServerIsSoonUsed() {
-            p.logic.maintenance(p.now, "a", true);
-            p.logic.maintenance(p.now, "a", true);
+            p.logic.maintenanceChanged(p.now, "a", true);
+            p.logic.maintenanceChanged(p.now, "a", true);
             p.pass(3_000);
-            p.logic.maintenance(p.now, "a", false);
+            p.logic.maintenanceChanged(p.now, "a", false);
             assertTrue(usedWithin(5_000, 300), "an idle copy's few calls reach it");
         }
 
@@ -1156,9 +1156,9 @@
             for (int i = 0; i < 200; i++) {
                 busy.serve();
             }
-            busy.logic.maintenance(busy.now, "a", true);
+            busy.logic.maintenanceChanged(busy.now, "a", true);
             busy.pass(1_000);
-            busy.logic.maintenance(busy.now, "a", false);
+            busy.logic.maintenanceChanged(busy.now, "a", false);
             // Its restart becomes known later, and is the same.
             busy.change("a", busy.now - 500 * MS, ServerStatus.UP);
             int taken = 0;
@@ -1172,20 +1172,20 @@
         void callsThatWaitAndRetriesPassItBy() {
             String first = p.request(Proxy.SAFE);
             String server = p.at(first);
-            p.logic.maintenance(p.now, server, true);
+            p.logic.maintenanceChanged(p.now, server, true);
             p.end(first, Outcome.NOT_SENT);
             assertNotEquals(server, p.at(first));
         }
 
         @Test
         void anIdThatIsNotListedYetIsLeftOutOnceItIs() {
-            p.logic.maintenance(p.now, "d", true);
+            p.logic.maintenanceChanged(p.now, "d", true);
             p.change("d", 0, ServerStatus.UP);
             p.pass(5_000);
             for (int i = 0; i < 12; i++) {
                 assertNotEquals("d", p.serve());
             }
-            p.logic.maintenance(p.now, "d", false);
+            p.logic.maintenanceChanged(p.now, "d", false);
             boolean used = false;
             for (int i = 0; i < 100; i++) {
                 used |= "d".equals(p.serve());
@@ -1195,10 +1195,10 @@
 
         @Test
         void aServerGoneFromTheListWhileOutIsNotUsedAfterTheCallBack() {
-            p.logic.maintenance(p.now, "a", true);
+            p.logic.maintenanceChanged(p.now, "a", true);
             p.logic.serversChanged(p.now, ListKind.WHOLE,
                     List.of(new Server("b", 0, 0, 0, 1, ServerStatus.UP)));
-            p.logic.maintenance(p.now, "a", false);
+            p.logic.maintenanceChanged(p.now, "a", false);
             p.pass(5_000);
             assertEquals("b", p.serve());
             assertEquals("b", p.serve());
@@ -1260,7 +1260,7 @@
             String server = upload();
             Set<String> taken = twoMore();
             assertEquals(Set.of("a", "b"), taken);
-            p.logic.uploaded(p.now, "up");
+            p.logic.uploadCompleted(p.now, "up");
             assertTrue(taken.contains(server));
         }
 
@@ -1269,7 +1269,7 @@
             learn();
             String server = upload();
             p.pass(20_000);
-            p.logic.uploaded(p.now, "up");
+            p.logic.uploadCompleted(p.now, "up");
             p.pass(60);
             p.end("up", Outcome.OK);
             assertEquals(0, p.count("log"));
@@ -1282,7 +1282,7 @@
             learn();
             String server = upload();
             p.pass(20_000);
-            p.logic.uploaded(p.now, "up");
+            p.logic.uploadCompleted(p.now, "up");
             String other = p.at(p.request(Proxy.SAFE));
             assertNotEquals(server, other, "it is busy now");
             p.pass(900);
@@ -1293,7 +1293,7 @@
         @Test
         void aBodyOfWhichPartIsGoneIsNotSentAgain() {
             upload();
-            p.logic.bodySpent(p.now, "up");
+            p.logic.bodyDiscarded(p.now, "up");
             p.end("up", Outcome.CONNECT_FAILED);
             assertEquals(1, p.attempts.get("up"));
             assertTrue(p.did("refuse up"), "nothing ran, so the client may come again");
--- a/src/test/java/larkworks/Proxy.java
+++ b/src/test/java/larkworks/Proxy.java
@@ -188,17 +188,17 @@
     }
 
     @Override
-    public void verdict(String server, Balancer.Verdict verdict, long untilUs) {
+    public void reportVerdict(String server, Balancer.Verdict verdict, long untilUs) {
         done.add("verdict " + server + " " + verdict + (untilUs > now ? "" : " back"));
     }
 
     @Override
-    public void serverBudget(String server, boolean spent) {
+    public void reportServerBudgetUse(String server, boolean spent) {
         done.add("budget " + server + (spent ? " spent" : " short"));
     }
 
     @Override
-    public void classBudget(int requestClass, boolean spent) {
+    public void reportClassBudgetUse(int requestClass, boolean spent) {
         done.add("class " + requestClass + (spent ? " spent" : " short"));
     }
 
--- a/src/test/java/larkworks/RulesTest.java
+++ b/src/test/java/larkworks/RulesTest.java
@@ -159,7 +159,7 @@
 
         private void changeList() {
             at(now + random.nextLong(900 * MS), this::changeList);
-            if (random.nextInt(6) == 0 && settings.watch()) {
+            if (random.nextInt(6) == 0 && settings.watchesDiscovery()) {
                 logic.discoveryFailed(now);
                 return;
             }
@@ -197,7 +197,7 @@
             assertTrue(known.containsKey(server), () -> server + " was never listed");
             assertTrue(now <= closedAtUs.getOrDefault(server, now) + GRACE_US, () -> server + " drains");
             assertTrue(a.tries.size() < settings.limits().maxAttempts(), () -> id + ": too many attempts");
-            assertTrue(settings.limits().secondCopies() || a.tries.stream().noneMatch(t -> t.out),
+            assertTrue(settings.limits().canHedge() || a.tries.stream().noneMatch(t -> t.out),
                     () -> id + ": two attempts out together");
             Server to = known.get(server);
             a.tries.stream().filter(t -> t.mayHaveRun).forEach(t -> {
@@ -272,14 +272,14 @@
 
         @Override
         public void cancel(String id, int attempt) {
-            assertTrue(settings.limits().cancel(), "cancels are not allowed");
+            assertTrue(settings.limits().canCancel(), "cancels are not allowed");
             Asked a = asked.get(id);
             at(now + MS, () -> end(a, attempt, Outcome.CANCELLED));
         }
 
         @Override
         public void probe(String server) {
-            assertTrue(settings.limits().probes(), "probes are not allowed");
+            assertTrue(settings.limits().canProbe(), "probes are not allowed");
             Outcome outcome = random.nextInt(4) == 0 ? Outcome.TIMEOUT : Outcome.OK;
             long sentAtUs = now;
             at(now + 1 + random.nextLong(3 * MS), () -> logic.probeResult(now, server, outcome,
@@ -293,7 +293,7 @@
 
         @Override
         public void watchServers() {
-            assertTrue(settings.watch(), "nothing to watch");
+            assertTrue(settings.watchesDiscovery(), "nothing to watch");
             at(now + random.nextLong(200 * MS), () -> {
                 if (random.nextInt(3) == 0) {
                     logic.discoveryFailed(now);
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -63,23 +63,23 @@
     @Test
     void aServerWhoseBudgetIsSpentGetsNothingUntilMoreIsSaid() {
         Proxy p = proxy("a", "b");
-        p.logic.serverBudget(p.now, "a", 1, p.now + 1_000 * MS);
+        p.logic.serverBudgetChanged(p.now, "a", 1, p.now + 1_000 * MS);
         Set<String> taken = Set.of(p.serve(), p.serve());
         assertEquals(Set.of("a", "b"), taken);
         assertTrue(p.did("budget a spent"));
         assertEquals("b", p.serve());
         assertEquals("b", p.serve());
         assertTrue(p.did("budget a short"));
-        p.logic.serverBudget(p.now, "a", 5, p.now - 1);
+        p.logic.serverBudgetChanged(p.now, "a", 5, p.now - 1);
         assertEquals("b", p.serve(), "its time is over");
-        p.logic.serverBudget(p.now, "a", 0, 0);
+        p.logic.serverBudgetChanged(p.now, "a", 0, 0);
         assertEquals("a", p.serve(), "no budget any more");
     }
 
     @Test
     void requestsBeyondTheirClassesBudgetAreRefusedAtOnce() {
         Proxy p = proxy("a", "b");
-        p.logic.classBudget(p.now, Proxy.SAFE, 1, p.now + 1_000 * MS);
+        p.logic.classBudgetChanged(p.now, Proxy.SAFE, 1, p.now + 1_000 * MS);
         p.serve();
         int refused = p.count("refuse");
         p.request(Proxy.SAFE);
@@ -91,7 +91,7 @@
     @Test
     void aClassGoesToItsServersWhileOneOfThemIsIdleHere() {
         Proxy p = proxy("a", "b", "c", "d");
-        p.logic.affinity(p.now, Proxy.SAFE, List.of("c"));
+        p.logic.affinityChanged(p.now, Proxy.SAFE, List.of("c"));
         assertEquals("c", p.serve());
         assertEquals("c", p.serve());
         assertEquals("c", p.at(p.request(Proxy.SAFE)));
