--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -130,7 +130,7 @@
     Discovery(Config config, EventLoop loop, Sockets sockets, Driver driver) {
         this.addresses = config.discovery();
         this.random = new SplittableRandom(config.seed());
-        this.isOnRequest = config.settings().watch();
+        this.isOnRequest = config.settings().watchesDiscovery();
         this.zones = config.zones();
         this.loop = loop;
         this.sockets = sockets;
--- a/src/main/java/larkworks/proxy/Listing.java
+++ b/src/main/java/larkworks/proxy/Listing.java
@@ -22,7 +22,7 @@
         /** Returns an entry for the same backend with status {@code GONE}. */
         Entry asGone() {
             return new Entry(new Server(server.id(), server.startedAtUs(), server.zone(), server.group(),
-                    server.size(), ServerStatus.GONE), null);
+                    server.weight(), ServerStatus.GONE), null);
         }
     }
 
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -26,7 +26,7 @@
     /** A server as listed, with its listed start time, and its start on this process's clock. */
     private record KnownStart(Server listed, long localStartUs) {
         Server withLocalStart() {
-            return new Server(listed.id(), localStartUs, listed.zone(), listed.group(), listed.size(),
+            return new Server(listed.id(), localStartUs, listed.zone(), listed.group(), listed.weight(),
                     listed.status());
         }
     }
