--- a/src/main/java/larkworks/proxy/Listing.java
+++ b/src/main/java/larkworks/proxy/Listing.java
@@ -72,13 +72,13 @@
                 default -> throw new IllegalArgumentException("status of " + id
                         + ": in_service, terminating or terminated is wanted, not '" + status + "'");
             };
-            double size = weight instanceof Number number && number.doubleValue() > 0
+            double serverWeight = weight instanceof Number number && number.doubleValue() > 0
                     ? number.doubleValue() : 1;
             // A terminated backend may lack an address, as nothing is sent to it.
             InetSocketAddress serverAddress = serverStatus == ServerStatus.GONE ? null
                     : Config.address(address);
             return new Entry(new Server(id, longOrZero(sinceMs) * 1000,
-                    Math.max(0, zones.indexOf(String.valueOf(zone))), (int) longOrZero(group), size,
+                    Math.max(0, zones.indexOf(String.valueOf(zone))), (int) longOrZero(group), serverWeight,
                     serverStatus), serverAddress);
         }
     }
