--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -53,6 +53,7 @@
      * loop. Far below 200 ms, after which a watch counts as interrupted.
      */
     private static final long EMPTY_ANSWER_PAUSE_MS = 20;
+    /** Pause before the first retry of a failed call; it doubles with each further failure. */
     private static final long MIN_RETRY_PAUSE_MS = 50;
     /** Pause before a connection is retried that failed for lack of a descriptor, port or buffer here. */
     private static final long LOCAL_FAILURE_PAUSE_MS = 10;
@@ -94,9 +95,11 @@
     private Purpose purpose = Purpose.FIRST;
     private final DiscoveryWaits waits = new DiscoveryWaits();
     private final ListFreshness freshness = new ListFreshness();
-    /** Whether bytes of the answer to the call in progress have arrived, since when, and how many. */
+    /** Whether bytes of the answer to the call in progress have arrived. */
     private boolean answerStarted;
+    /** When the first bytes of that answer arrived, by {@link System#nanoTime}. */
     private long answerStartedNs;
+    /** Bytes of the body of that answer so far. */
     private long answerBytes;
     private long callStartedNs;
     private long callStartedUs;
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -43,10 +43,11 @@
     /** How often the shutdown checks whether all requests have ended. */
     private static final long SHUTDOWN_CHECK_INTERVAL_MS = 10;
     /**
-     * The platform sends SIGKILL no sooner than after the longest deadline of any request class, counted as
-     * 3 s at most, plus this time.
+     * The platform sends SIGKILL no sooner than after the longest deadline of any request class plus this
+     * time.
      */
     private static final long MIN_KILL_DELAY_MS = 700;
+    /** The platform counts a longer deadline as this one when it times SIGKILL. */
     private static final long MAX_DEADLINE_MS = 3_000;
     /**
      * Requests that arrive late in the shutdown are answered this long before SIGKILL: time limits have 50 ms
@@ -65,8 +66,9 @@
      * loading and warm-up take up to 3 s if twenty processes start at once on shared cores.
      */
     private static final long MAX_LIST_WAIT_MS = 2_500;
-    /** Pause between attempts to listen that fail for a passing reason, and how long they are repeated. */
+    /** Pause before another attempt to listen, if the system was short of sockets only for a moment. */
     private static final long LISTEN_RETRY_MS = 20;
+    /** How long attempts to listen are repeated in the start. */
     private static final long LISTEN_TIMEOUT_MS = 5_000;
     /** How often the start checks whether the first list has arrived. */
     private static final long LIST_CHECK_INTERVAL_MS = 20;
