--- a/src/main/java/larkworks/proxy/Answer.java
+++ b/src/main/java/larkworks/proxy/Answer.java
@@ -4,12 +4,12 @@
 import larkworks.Balancer.Outcome;
 
 /**
- * How an attempt or a probe ended.
+ * The result of an attempt or a probe.
  *
- * @param body what the backend answered, where it served the request; else null
- * @param type the content type of that, or null
- * @param report the backend's load, or null
- * @param improper whether the backend found that no client sent such a request
+ * @param body the backend's response body if it served the request and the body was buffered; else null
+ * @param type the content type of the body, or null
+ * @param report the backend's load report, or null
+ * @param improper whether the backend rejected the request as invalid (status 400)
  */
 record Answer(Outcome outcome, byte[] body, String type, LoadReport report, boolean improper) {
 
--- a/src/main/java/larkworks/proxy/Backlog.java
+++ b/src/main/java/larkworks/proxy/Backlog.java
@@ -8,19 +8,20 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * What a client sent behind the request in hand, in its order. It owns the parts until they are taken or
- * dropped. It is bounded by refusing: the client must be read all the same, as only reading shows that it has
- * gone.
+ * The queue of messages that a client sent ahead, behind its current request (HTTP pipelining). It owns the
+ * messages until they are polled or dropped. Messages beyond its limit are dropped, as reading can't be
+ * paused instead: only reading shows that the client has gone.
  */
 final class Backlog {
 
-    /** What one connection may have here. */
+    /** Maximum size of one connection's queue. */
     private static final int MOST = 64 << 10;
-    /** What a head fills in memory, and a part of a body beside its bytes; rough, and rather too much. */
+    /** Estimated memory of a request head, on the high side. */
     private static final int HEAD = 1 << 10;
+    /** Estimated memory of a body part beside its bytes, on the high side. */
     private static final int PART = 64;
 
-    /** A part and when it came. */
+    /** A request head or a part of a body, with the time of its arrival. */
     record Part(HttpObject object, long atUs) {
         private int size() {
             return object instanceof HttpContent content ? PART + content.content().readableBytes() : HEAD;
@@ -33,22 +34,23 @@
     private boolean overrun;
 
     /**
-     * An empty one.
+     * Creates an empty queue.
      *
-     * @param account told by how much what is held here grows or shrinks; returns how much more may come
+     * @param account adds a change of this queue's size to the total of all connections, and returns how many
+     *     bytes are left of the total's limit
      */
     Backlog(IntUnaryOperator account) {
         this.account = account;
     }
 
-    /** Takes a part over; false from the first on that is too much: it and all others are dropped. */
+    /** Adds a part; false if it and all later ones are dropped because one has exceeded a limit. */
     boolean add(HttpObject object, long atUs) {
         Part part = new Part(object, atUs);
         if (overrun || size + part.size() > MOST || account.applyAsInt(0) < part.size()) {
             overrun = true;
             ReferenceCountUtil.release(object);
             while (!parts.isEmpty() && !(parts.peekLast().object() instanceof LastHttpContent)) {
-                // Of a request whose rest is dropped.
+                // Drops the parts of the request that is now incomplete.
                 ReferenceCountUtil.release(removed(parts.pollLast()).object());
             }
             return false;
@@ -59,7 +61,7 @@
         return true;
     }
 
-    /** Hands over the part that came first. */
+    /** Removes and returns the oldest part. */
     Part poll() {
         return removed(parts.poll());
     }
@@ -74,7 +76,7 @@
         return parts.isEmpty();
     }
 
-    /** Whether something was dropped: what is still here is whole, and nothing comes behind it. */
+    /** Returns whether parts were dropped; the requests still in the queue are complete and the last ones. */
     boolean overrun() {
         return overrun;
     }
--- a/src/main/java/larkworks/proxy/ByteWatch.java
+++ b/src/main/java/larkworks/proxy/ByteWatch.java
@@ -3,7 +3,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells that bytes came on a connection, before anything is made of them. */
+/** Runs an action whenever bytes are read from a connection, before they are decoded. */
 final class ByteWatch extends ChannelInboundHandlerAdapter {
 
     private final Runnable action;
--- a/src/main/java/larkworks/proxy/CloseReason.java
+++ b/src/main/java/larkworks/proxy/CloseReason.java
@@ -1,24 +1,24 @@
 package larkworks.proxy;
 
-/** Why the proxy ended a client's connection. */
+/** Why the proxy closed a client's connection. The constants are written to the log. */
 enum CloseReason {
-    /** Its last answer was given: the client, or the process's end, asked for no more. */
+    /** The last answer was written: the client asked to close, the process drains, or input was not read. */
     LAST_ANSWER,
-    /** The process ends, and no request was on it. */
+    /** The process is ending, and the connection had no request. */
     UNUSED_AT_END,
-    /** Descriptors or room for bodies ran short. */
+    /** File descriptors or memory for request bodies ran short. */
     EVICTED,
-    /** Nothing, or only half a request, came in its time. */
+    /** No complete request head arrived before the timeout. */
     REQUEST_LATE,
-    /** A body came too slowly, or nobody took it. */
+    /** A request body arrived below the minimum rate, or no backend took it. */
     BODY_LATE,
-    /** The client took nothing of a large answer. */
+    /** A large answer made no progress. */
     ANSWER_STALLED,
-    /** A large answer ended before it was whole. */
+    /** A large answer from a backend broke off. */
     ANSWER_BROKEN,
-    /** More requests came at once than are held. */
+    /** The client sent more requests ahead (pipelining) than the proxy buffers. */
     TOO_MUCH_AHEAD,
-    /** A request broke off in a way that no answer fits. */
+    /** A request body became invalid while its answer was already being written. */
     REQUEST_BROKEN,
     /** The connection failed. */
     FAILED
--- a/src/main/java/larkworks/proxy/Flow.java
+++ b/src/main/java/larkworks/proxy/Flow.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * Bounds what large bodies on their way may fill in write buffers, all together: the more there are, the
- * smaller each one's share. Who reads for a channel stops while the channel is over its share.
+ * Bounds the total size of the write buffers of large bodies: the more channels write one, the smaller the
+ * share of each. A channel's share is its high water mark, so the channel is not writable while its buffer
+ * exceeds the share, and the sender of the body is not read meanwhile.
  */
 final class Flow {
 
@@ -18,13 +19,14 @@
     private final Set<Channel> channels = new HashSet<>();
     private int share = MOST;
 
-    /** A body begins to be written to the channel. */
+    /** Adds a channel to which a large body will be written. */
     void begin(Channel channel) {
         channels.add(channel);
         mark(channel);
         divide();
     }
 
+    /** Removes a channel whose large body has ended. */
     void end(Channel channel) {
         channels.remove(channel);
         divide();
--- a/src/main/java/larkworks/proxy/Framing.java
+++ b/src/main/java/larkworks/proxy/Framing.java
@@ -6,26 +6,29 @@
 import io.netty.handler.codec.http.HttpUtil;
 import java.util.List;
 
-/** Where messages end, read to the letter on both sides of the proxy. */
+/** Strict HTTP/1.1 message framing, for requests from clients and responses from backends. */
 final class Framing {
 
     private Framing() { }
 
-    /** A field's name must end at its colon; it ends before a colon or a blank, so a byte is behind it. */
+    /**
+     * Checks that a header field's name is directly followed by its colon. Netty ends the name before a colon
+     * or a blank, so the line has a byte after it.
+     */
     static void requireColon(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon behind a field's name");
+            throw new IllegalArgumentException("header field name is not followed by a colon");
         }
     }
 
-    /** Whether a transfer coding is named that is not plainly chunked, and so is not undone here. */
+    /** Returns whether the message has a transfer coding other than chunked, which the proxy can't decode. */
     static boolean codedOddly(HttpMessage message) {
         List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         return !codings.isEmpty() && (codings.size() > 1
                 || !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).strip()));
     }
 
-    /** The length of the body; negative where it is not told. */
+    /** Returns the length of the body; negative if the head doesn't give it. */
     static long length(HttpMessage message) {
         return HttpUtil.isTransferEncodingChunked(message) ? -1 : HttpUtil.getContentLength(message, -1L);
     }
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -56,36 +56,46 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The clients' side: reads their requests, hands good ones to the driver, and writes the answers. */
+/** The client side of the proxy: reads requests, passes valid ones to the driver and writes the answers. */
 final class Frontend {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
-    /** Clients may send a body at 64 kB a second; one that stays well under that is no client. */
+    /**
+     * Minimum rate of a request body, in bytes per second. Clients send at 64 kB/s or faster; a connection
+     * well below that is cut off.
+     */
     private static final long LEAST_RATE = 48_000;
-    /** Time between a head and its body's first bytes that is granted however late the head was. */
+    /** Minimum time granted between a request head and the first bytes of its body. */
     private static final long BODY_GRACE_MS = 500;
-    /** What all requests together may fill with bodies that are held whole, or not known to be large yet. */
+    /**
+     * Memory limit for the buffered bodies of all requests: small bodies, and the beginnings of bodies that
+     * may still turn out to be large.
+     */
     private static final int MOST_HELD = 8 << 20;
-    /** A transfer that stands still for so long is cut off. */
+    /** A transfer without progress for this long is cut off. */
     private static final long STALL_MS = LingeringClose.STALL_MS;
-    /** Who is silent for so long goes first where descriptors run short: honest heads come in pieces. */
+    /**
+     * An unproven connection can be evicted only after this time without bytes, as a valid request head may
+     * arrive in several pieces.
+     */
     private static final long SILENT_MS = 300;
     /**
-     * A connection that has never carried a proper request is closed after so long without a request. Who
-     * sends nothing, or not enough, is owed that within 3 s; for the first 2 s anybody may take their time.
+     * Time for a client to send a whole request head: from the connection's acceptance for the first request,
+     * from the head's first byte for later ones. A connection that sends no request, or part of one, must be
+     * closed within 3 s, and not within the first 2 s. It is also the maximum linger time.
      */
     private static final long STRANGER_MS = 2_500;
 
-    /** At its end the process waits no longer for clients to close than this. */
+    /** Maximum time that a draining process waits for a client to close its side of the connection. */
     private static final long LAST_LINGER_MS = 1_000;
 
-    /** What came from a client so long ago does not tell any more whether it is still there. */
+    /** Bytes received longer ago than this don't prove that the client is still connected. */
     private static final long FRESH_MS = 50;
 
-    /** Polls after a connection's acceptance by which what lay in it then has been read. */
+    /** Number of polls after which all bytes that arrived before a connection's acceptance have been read. */
     private static final int FIRST_READ_POLLS = 2;
 
-    /** Reads of one connection in a turn: a request of the usual size, and the end behind it. */
+    /** Maximum reads of one connection per loop turn: a usual request and the end of stream after it. */
     private static final int MOST_READS = 16;
 
     private final EventLoop loop;
@@ -95,18 +105,18 @@
     private final Settings settings;
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
-    /** Clients' connections without a request, the longest silent first. */
+    /** Proven connections without a complete request in progress, the longest silent first. */
     private final Set<Connection> idle = new LinkedHashSet<>();
-    /** Those that have not carried a whole request yet, likewise. */
+    /** Connections that have not carried a valid request yet, the longest silent first. */
     private final Set<Connection> strangers = new LinkedHashSet<>();
     private final Flow flow = new Flow();
-    /** Connections whose last answer has gone, with the time that a silent client has. */
+    /** Closes connections after their last answers. */
     private final LingeringClose lingering;
     private TcpListener listener;
     private Consumer<SystemError> onAcceptFailure = error -> { };
     private int connections;
     private int heldBytes;
-    /** Whether a connection is read out of its turn. */
+    /** Whether a connection is being read outside the event loop's own read of it. */
     private boolean readingNow;
     private boolean warm;
     private boolean draining;
@@ -138,7 +148,7 @@
                 .option(ChannelOption.SO_BACKLOG, 1024)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // To the end of what is there, also past a short read: whoever sent it may have left.
+                // Reads on after a short read, as the end of stream may follow: the client may have closed.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBuffers()
                         .respectMaybeMoreData(false).maxMessagesPerRead(MOST_READS))
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -167,22 +177,22 @@
         }
     }
 
-    /** Has each failed accept told. */
+    /** Sets the action to run after each failed accept. */
     void onAcceptFailure(Consumer<SystemError> told) {
         onAcceptFailure = told;
     }
 
-    /** From now on ready, while some backend could be sent a request. */
+    /** Ends the warm-up: from now on the proxy is ready whenever some backend can be sent a request. */
     void ready() {
         warm = true;
     }
 
-    /** Whether clients can connect. */
+    /** Returns whether clients can connect. */
     boolean listens() {
         return listener != null && listener.isActive();
     }
 
-    /** From now on not ready, and each answer closes its connection; new connections still come. */
+    /** Starts draining: the proxy is not ready, and each answer closes its connection; accepting goes on. */
     void drain() {
         draining = true;
         lingering.limit(LAST_LINGER_MS);
@@ -192,7 +202,7 @@
         return draining;
     }
 
-    /** Takes no further connections, but for those already in the listener's queue, which would be reset. */
+    /** Accepts the connections that are in the listener's queue, which a close would reset, and closes it. */
     void stopListening() {
         if (listener != null && listener.isOpen()) {
             listener.drainAndClose();
@@ -200,10 +210,11 @@
     }
 
     /**
-     * Closes connections on which no request has begun to come: clients send on every one that stays open, to
-     * the end of the process. One that never carried any may have its first on the way for a moment. What has
-     * come is read first. What crosses the close can't be seen; it is dropped unanswered, and its client,
-     * which has the last answer whole and then the end, sends it once more.
+     * Closes connections on which no request has begun to arrive: clients go on sending on every connection
+     * that stays open, until the process ends. An unproven connection is closed only after a short silence,
+     * as its first request may be on its way. Received bytes are read first. A request that crosses the close
+     * can't be seen: it is dropped unanswered, and its client, which sees the connection end after a complete
+     * answer, sends it again.
      */
     void closeUnused() {
         List<Connection> unused = Stream.concat(idle.stream(),
@@ -217,43 +228,43 @@
         });
     }
 
-    /** What all requests together hold of bodies. */
+    /** Returns the size of the buffered bodies of all requests. */
     int heldBytes() {
         return heldBytes;
     }
 
-    /** Clients' connections that are open. */
+    /** Returns the number of open client connections. */
     int connections() {
         return connections;
     }
 
-    /** Whether the listener is closed and so is each client's connection. */
+    /** Returns whether the listener and all client connections are closed. */
     boolean isEmpty() {
         return (listener == null || !listener.isOpen()) && connections == 0;
     }
 
-    /** Whether clients find this process at their address, and requests some backend. */
+    /** Returns whether the proxy is ready: warmed up, not draining, and able to send to some backend. */
     boolean serves() {
         return warm && !draining && driver.canServe();
     }
 
-    /** Closes the connection that only waits for its client to close, for longest; false where none does. */
+    /** Closes the connection that has waited longest for its client to close; false if there is none. */
     boolean evictLingering() {
         return lingering.evict();
     }
 
-    /** Closes the stranger that has been silent longest, if for a while; false where there is none. */
+    /** Closes the unproven connection that has been silent longest; false if none has been silent enough. */
     boolean evictStranger() {
         return evict(strangers, Connection::silentLong);
     }
 
-    /** Closes the client's connection that was idle longest, else any stranger's; false where none is. */
+    /** Closes the connection that has been idle longest, else any unproven one; false if there is neither. */
     boolean evict() {
         return evict(idle, any -> true) || evict(strangers, any -> true);
     }
 
     private static boolean evict(Set<Connection> from, Predicate<Connection> wanted) {
-        // A copy, as reading moves those from which something comes.
+        // Iterates over a copy, as readNow moves each connection that has received bytes.
         for (Connection chosen : List.copyOf(from)) {
             if (wanted.test(chosen)) {
                 chosen.readNow();
@@ -275,7 +286,7 @@
         }
     }
 
-    /** A request that can't be taken; the status tells why. */
+    /** Thrown for a request that is invalid or exceeds a limit; the status is the answer's. */
     private static final class Rejected extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
@@ -286,7 +297,7 @@
         }
     }
 
-    /** What a request asks for, by its head alone. */
+    /** Parses a request head. */
     private Driver.Inbound read(HttpRequest request) throws Rejected {
         HttpHeaders headers = request.headers();
         String id = headers.get("X-Call-Id");
@@ -314,7 +325,7 @@
                 number(headers, "X-Call-Cost", 0), "1".equals(headers.get("X-Again")), 0);
     }
 
-    /** Whether a body may come, and in a form that is taken here. */
+    /** Checks that the head is valid and its transfer coding, length and Expect header are supported. */
     private static void checkBody(HttpRequest request) throws Rejected {
         if (request.decoderResult().isFailure() || RequestDecoder.codedOddly(request)) {
             throw new Rejected(HttpResponseStatus.BAD_REQUEST, "broken request");
@@ -334,7 +345,7 @@
             return absent;
         }
         try {
-            // Longer than a day is as good as any time, and far from overflowing.
+            // Limits times to one day, which avoids overflows.
             return Math.min(86_400_000, Math.max(0, Long.parseLong(text.strip())));
         } catch (NumberFormatException e) {
             throw new Rejected(HttpResponseStatus.BAD_REQUEST, name + " is no whole number");
@@ -349,45 +360,46 @@
         return uri.isEmpty() ? "" : uri.substring(1, end);
     }
 
-    /** A client's connection. Its requests are answered in the order in which they came. */
+    /** A client's connection. Its requests are answered in the order in which they arrived. */
     private final class Connection extends ChannelInboundHandlerAdapter {
 
         private final Channel channel;
         private final long openedMs = nowMs();
-        /** The poll that found it, and since when it may have waited in the listener's queue. */
+        /** The number of the poll that accepted the connection. */
         private final long openedPoll = polls.polls();
+        /** The earliest time at which the connection can have entered the listener's queue. */
         private final long queuedSinceNs = listener.queuedSinceNs();
-        /** What came behind the request in hand. */
+        /** Messages that arrived behind the current request. */
         private final Backlog later = new Backlog(change -> MOST_HELD - (heldBytes += change));
-        /** The request in hand, from its head until its answer has gone; else null. */
+        /** The head of the current request, until its answer has been written; null between requests. */
         private HttpRequest head;
-        /** Whether its body is still coming. */
+        /** Whether the current request's body is still being received. */
         private boolean receiving;
-        /** What came of the body, while it may yet be small; else null. */
+        /** The body as received so far, while it may still be a small one; else null. */
         private ByteBuf body;
         private Upload upload;
         private long received;
-        /** Its part of {@link #heldBytes}. */
+        /** This connection's part of {@link #heldBytes}. */
         private int holding;
         private long bodyFromMs;
-        /** What its head asks for, still without its body; null where it can't be taken. */
+        /** The current request as parsed from its head, without the body; null if it was rejected. */
         private Driver.Inbound asked;
         private Rejected rejected;
         private boolean keep;
-        /** A whole request, until all that came in the same turn of the loop has been read; else null. */
+        /** A complete request, until everything received in the same loop turn has been read; else null. */
         private Driver.Inbound ready;
-        /** Handed to the driver and not answered yet. */
+        /** Whether the driver has the current request and hasn't answered it yet. */
         private boolean busy;
         private PendingRequest held;
         private Answering answering;
-        /** The last answer is on its way: nothing that comes counts any more. */
+        /** Whether the last answer is being written; further received messages are dropped. */
         private boolean closing;
-        /** Whether a request came that could be taken: strangers are not to hold descriptors for long. */
+        /** Whether a valid request has arrived; connections without one are closed early, to free sockets. */
         private boolean proper;
-        /** Bytes have come since the last request. */
+        /** Whether bytes have arrived since the last request. */
         private boolean stirred;
         private long stirredMs = openedMs;
-        /** What is still owed by the client, cut off when it is late. */
+        /** Timer that closes the connection if the client doesn't send the rest of its request in time. */
         private Future<?> patience;
 
         private Connection(Channel channel) {
@@ -406,14 +418,14 @@
                                 + heldBytes + " sockets=" + sockets.open());
             });
             if (!sockets.accepted()) {
-                // The next connections wait in the listener's queue until one closes.
+                // Further connections wait in the listener's queue until one closes.
                 accept(false);
             }
             patience(loop.schedule(this::lateRequest, STRANGER_MS, TimeUnit.MILLISECONDS));
             idleOf().add(this);
         }
 
-        /** Whether no request is there, or has begun to come. */
+        /** Returns whether no request is in progress and none has begun to arrive. */
         private boolean unused() {
             return !closing && !stirred && head == null && channel.isActive();
         }
@@ -422,7 +434,7 @@
             return nowMs() - stirredMs > SILENT_MS;
         }
 
-        /** Reads what the system has by now, as is done in the loop's next turn: it may be behind. */
+        /** Reads what the system has received, without waiting for the event loop, which may lag. */
         private void readNow() {
             if (!readingNow && channel.isActive() && channel.config().isAutoRead()) {
                 readingNow = true;
@@ -435,8 +447,9 @@
         }
 
         /**
-         * Whether the client is there. Its leaving may lie unread while the loop is behind, and a request
-         * that has waited must not be sent on long after it.
+         * Returns whether the client is still connected, reading first if nothing was received lately: the
+         * client's close may be unread while the loop lags, and a delayed request must not be sent to a
+         * backend long after its client has gone.
          */
         private boolean connected() {
             if (nowMs() - stirredMs > FRESH_MS) {
@@ -445,7 +458,10 @@
             return channel.isActive();
         }
 
-        /** Closes at once, but where a whole request has come or an answer goes out; tells whether so. */
+        /**
+         * Closes the connection at once, unless a complete request has arrived or an answer is being written.
+         * Returns whether it was closed.
+         */
         private boolean evict() {
             boolean answered = LingeringClose.unwritten(channel) == 0 || nowMs() - stirredMs > STRANGER_MS;
             if (!answered || !idleOf().remove(this)) {
@@ -457,7 +473,7 @@
             return true;
         }
 
-        /** Who has asked nothing in its time, or only half, is closed: at once, as no answer is due. */
+        /** Closes the connection if no complete request head has arrived in time; no answer is due. */
         private void lateRequest() {
             readNow();
             if (!idleOf().contains(this)) {
@@ -482,7 +498,7 @@
             patience = next;
         }
 
-        /** Bytes came: the connection is the least silent of all, and a head that begins has its time. */
+        /** Notes that bytes arrived, and starts the timeout of the request head that begins with them. */
         private void stir() {
             if (idleOf().remove(this)) {
                 idleOf().add(this);
@@ -503,7 +519,7 @@
             } else if (!later.isEmpty() || head != null && !receiving) {
                 boolean first = !later.overrun();
                 if (!later.add(object, now) && first) {
-                    // What comes from here on is not even decoded; but read, else its end would not be seen.
+                    // Drops further bytes undecoded; they are read, as only reading shows the client's close.
                     context.pipeline().addFirst(new LingeringClose.Discard());
                 }
             } else {
@@ -512,8 +528,9 @@
         }
 
         /**
-         * When what is read now came, at the earliest: a client's time does not wait for this loop. On a
-         * connection just accepted it may have come with the connection.
+         * Returns the earliest time at which the message being read can have arrived, as a request's budget
+         * also runs while this loop lags. On a connection just accepted the message may have arrived while
+         * the connection was in the listener's queue.
          */
         private long arrivedUs() {
             boolean first = polls.polls() <= openedPoll + FIRST_READ_POLLS;
@@ -564,7 +581,7 @@
             received = 0;
             body = Unpooled.buffer(0);
             keep = HttpUtil.isKeepAlive(request);
-            // A stranger has to be done soon after connecting, others soon after the head.
+            // An unproven connection's time runs from its acceptance, a proven one's from the head.
             bodyFromMs = Math.max(nowMs() + BODY_GRACE_MS, (proper ? nowMs() : openedMs) + STRANGER_MS);
             watchBody();
             checkBody(request);
@@ -572,7 +589,7 @@
                 try {
                     asked = read(request);
                 } catch (Rejected e) {
-                    // With its body read, if that is short, the connection can go on.
+                    // Rejected once the body has been read, if that is small, so the connection can be kept.
                     rejected = e;
                 }
             }
@@ -589,7 +606,7 @@
             return head.method().equals(HttpMethod.GET) && head.uri().startsWith("/health/");
         }
 
-        /** Cuts off a body that comes more slowly than clients may send it, or that no backend takes. */
+        /** Cuts the connection off if the body arrives below the minimum rate or no backend takes it. */
         private void watchBody() {
             patience(loop.schedule(() -> {
                 readNow();
@@ -639,10 +656,10 @@
             }
         }
 
-        /** Makes room for more of a body: who has sent half a request and fallen silent has to go first. */
+        /** Reserves memory for more of a body, evicting silent unproven connections where it runs short. */
         private void hold(int bytes) throws Rejected {
             while (heldBytes + bytes > MOST_HELD && evictStranger()) {
-                // Each turn closes one connection, which frees what it holds.
+                // Each iteration closes one connection, which frees the memory of its body.
             }
             if (heldBytes + bytes > MOST_HELD) {
                 throw new Rejected(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the body");
@@ -656,7 +673,7 @@
             holding = 0;
         }
 
-        /** The body is too large to be held: what came and what will come goes on as it comes. */
+        /** Starts to pass the body on as it arrives, as it is too large to be buffered. */
         private void pass(long atUs) {
             upload = new Upload(channel, flow, Framing.length(head), body, this::holdNothing);
             body = null;
@@ -689,7 +706,7 @@
             }
         }
 
-        /** The client may have left together with its last part: that is known now. */
+        /** Completes the upload, unless the client closed its connection right behind the last part. */
         private void completeUpload(Upload uploaded) {
             if (upload == uploaded && channel.isActive()) {
                 upload.complete();
@@ -699,7 +716,7 @@
             }
         }
 
-        /** The client may have left together with its request: that is known now. */
+        /** Dispatches the complete request, unless the client closed its connection right behind it. */
         private void dispatchReady() {
             Driver.Inbound inbound = ready;
             ready = null;
@@ -720,7 +737,7 @@
 
         private void reject(Rejected why) {
             if (why.status.equals(HttpResponseStatus.BAD_REQUEST) && why != rejected) {
-                // Where the next request begins can't be told any more.
+                // After a malformed message the beginning of the next request is unknown.
                 keep = false;
             }
             if (held != null) {
@@ -744,7 +761,7 @@
             };
         }
 
-        /** Answers what no backend was asked for. */
+        /** Answers a request that was not sent to a backend. */
         private void answer(HttpResponseStatus status, byte[] text, String type) {
             answer(status, text, type, -1, written -> { });
         }
@@ -775,7 +792,7 @@
             writing.addListener(done -> delivery.ended(done.isSuccess()));
         }
 
-        /** Tells the client whether the connection goes on; returns whether this answer is its last. */
+        /** Sets the answer's Connection header; returns whether the answer is the connection's last. */
         private boolean describeEnd(HttpResponse response) {
             boolean last = !keep || receiving || (draining || later.overrun()) && later.isEmpty();
             if (last) {
@@ -786,14 +803,17 @@
             return last;
         }
 
-        /** Writes the last of an answer and closes. The client may read only once it has sent all. */
+        /**
+         * Writes the last message and closes the connection with a lingering close, as the client may read
+         * the answer only after it has sent its whole request.
+         */
         private ChannelFuture finish(Object last, CloseReason why) {
             closed(why);
             drop();
             return lingering.close(channel, last);
         }
 
-        /** Closes at once; an answer that ends with its connection must not look whole. */
+        /** Closes at once: with a reset if an answer that ends with its connection would look complete. */
         private void cut(CloseReason why) {
             closed(why);
             if (answering != null && answering.endsWithConnection) {
@@ -811,7 +831,7 @@
             }
         }
 
-        /** Nothing that comes counts from here on. */
+        /** Ends request processing: releases all buffers, and drops messages that arrive from now on. */
         private void drop() {
             closing = true;
             ready = null;
@@ -835,7 +855,7 @@
             }
         }
 
-        /** The request in hand is done with; the next one's turn comes. */
+        /** Ends the current request and starts the next one, if it has arrived. */
         private void next() {
             releaseBody();
             head = null;
@@ -889,9 +909,9 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // Most often a reset by the client; channelInactive follows and ends what it asked for.
+            // Usually a reset by the client; channelInactive follows and ends the pending request.
             if (!(cause instanceof IOException)) {
-                LOG.atError().setCause(cause).log("a client's connection failed");
+                LOG.atError().setCause(cause).log("client connection failed");
             }
             cut(CloseReason.FAILED);
         }
@@ -903,14 +923,14 @@
         }
     }
 
-    /** A large answer on its way to the client. */
+    /** Writes a large answer to the client as it arrives from the backend. */
     private final class Answering implements BackendPool.Sink {
 
         private final Connection connection;
         private final Channel channel;
         private final BackendPool.Exchange from;
         private final Driver.Delivery delivery;
-        /** Where neither a length nor chunks tell the client where the answer ends, its connection does. */
+        /** Whether closing the connection marks the answer's end, as it has neither a length nor chunks. */
         private final boolean endsWithConnection;
         private final boolean last;
         private long passed;
@@ -942,7 +962,7 @@
             watch();
         }
 
-        /** Cuts a transfer off that stands still, whoever makes it wait. */
+        /** Cuts off a transfer without progress, whether the client or the backend causes the delay. */
         private void watch() {
             watch = loop.schedule(() -> {
                 long now = passed - LingeringClose.unwritten(channel);
@@ -977,13 +997,13 @@
                         .addListener(done -> stop(done.isSuccess()));
                 return;
             }
-            // Until it has all gone out the client may still stand still.
+            // The stall timer runs on until the last byte is written, as the client may still stop reading.
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                     .addListener(done -> stop(done.isSuccess()));
             connection.next();
         }
 
-        /** The client can tell: it misses the last chunk or the rest of the length, or gets a reset. */
+        /** Closes the connection so that the client sees a truncated answer, by framing or by a reset. */
         @Override
         public void broken() {
             stop(false);
@@ -1004,7 +1024,7 @@
         }
     }
 
-    /** Where the driver's answer to a request goes. */
+    /** Writes the driver's answer to the client's connection. */
     private record Client(Connection connection) implements Driver.Client {
 
         @Override
--- a/src/main/java/larkworks/proxy/LingeringClose.java
+++ b/src/main/java/larkworks/proxy/LingeringClose.java
@@ -15,30 +15,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes connections so that their last answers arrive. Closed at once, with bytes of the peer's unread, a
- * connection is reset, and what the system holds of the answer is lost with it. So the sending ends first.
- * What the peer sends from then on is read and dropped, until it has closed too or its time is over. All
- * connections share one timer.
+ * Closes connections so that their last answers arrive. Closing a connection that has unread bytes resets it,
+ * and the part of the answer that is still in the system's send buffer is lost. So only the output is shut
+ * down first; bytes from the peer are read and dropped until the peer closes too or the linger time is over.
+ * All connections share one timer.
  */
 final class LingeringClose {
 
-    /** A peer that takes nothing for so long of what is still to be written is cut off. */
+    /** A connection whose pending writes make no progress for this long is reset. */
     static final long STALL_MS = 10_000;
 
     private final EventLoop loop;
     private long mostMs;
-    /** Connections whose sending has ended, and when it did, the longest ago first. */
+    /** Connections whose output is shut down, with the time at which it was, the earliest first. */
     private final Map<Channel, Long> lingering = new LinkedHashMap<>();
-    /** Closes the first of them, or null. */
+    /** Timer that closes the connection that has lingered longest; null if none lingers. */
     private Future<?> expiry;
 
-    /** Lets each connection linger for a time at most. */
+    /** Creates an instance that closes each connection after the given linger time at the latest. */
     LingeringClose(EventLoop loop, long mostMs) {
         this.loop = loop;
         this.mostMs = mostMs;
     }
 
-    /** Changes the time for all, also for those that linger now. */
+    /** Changes the maximum linger time, also for connections that linger now. */
     void limit(long ms) {
         mostMs = ms;
         if (expiry != null) {
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Writes the last message, ends the sending once all is written, and closes once the peer has or the time
-     * is over. Nothing that comes from here on is decoded.
+     * Writes the last message, then shuts down the output, and closes the connection once the peer has closed
+     * it or the linger time is over. Bytes received from now on are not decoded.
      *
-     * @return told when the message is written
+     * @return the future of the write
      */
     ChannelFuture close(Channel channel, Object message) {
         channel.pipeline().addFirst(new Discard());
@@ -67,7 +67,7 @@
         });
     }
 
-    /** Closes the connection that lingers longest; false where none does. */
+    /** Closes the connection that has lingered longest; false if none lingers. */
     boolean evict() {
         var all = lingering.keySet().iterator();
         if (!all.hasNext()) {
@@ -79,19 +79,19 @@
         return true;
     }
 
-    /** Closes a connection such that its peer can tell that not all has come. */
+    /** Closes a connection with a TCP reset, so that the peer sees that the answer is truncated. */
     static void reset(Channel channel) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
     }
 
-    /** Bytes that the system has not taken yet. */
+    /** Returns the number of bytes in the channel's write buffer, not yet passed to the system. */
     static long unwritten(Channel channel) {
         ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
         return waiting == null ? 0 : waiting.totalPendingWriteBytes();
     }
 
-    /** The same write, cut off by a reset where the peer takes nothing of it for {@link #STALL_MS}. */
+    /** Resets the connection if the write makes no progress for {@link #STALL_MS}; returns the same write. */
     ChannelFuture watched(Channel channel, ChannelFuture written) {
         if (!written.isDone()) {
             watch(channel, written);
@@ -121,7 +121,7 @@
         expire();
     }
 
-    /** Closes those whose time is over, and comes back for the next. */
+    /** Closes the connections whose linger time is over, and starts the timer for the next one. */
     private void expire() {
         while (!lingering.isEmpty() && firstDueMs() <= 0) {
             evict();
@@ -142,7 +142,7 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** Drops what comes before anything is made of it. */
+    /** Drops received bytes before they are decoded. */
     static final class Discard extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
--- a/src/main/java/larkworks/proxy/PendingRequest.java
+++ b/src/main/java/larkworks/proxy/PendingRequest.java
@@ -6,31 +6,31 @@
 import larkworks.proxy.Meters.Result;
 
 /**
- * A request from its arrival until it ends: its answer has been given and written to the client's connection,
- * or the client has gone, and its last attempt has ended. {@link PendingRequests} is where it ends. For the
- * proxy's loop only; times are in microseconds by the driver's clock.
+ * A request from its dispatch to the driver until it has ended: its answer was written to the client's
+ * connection or the client has gone, and its last attempt has ended. {@link PendingRequests} removes it then.
+ * To be used on the proxy's event loop only. Times are in microseconds by the driver's clock.
  */
 final class PendingRequest {
 
     final String id;
     final Driver.Inbound inbound;
     final Driver.Client client;
-    /** The module that decides on it, to its end. */
+    /** The decision module that handles this request until it ends. */
     final Driver.Deciding module;
     final List<UpstreamAttempt> attempts = new ArrayList<>(2);
-    /** When it was handed over, which may be some time after it came. */
+    /** When the driver got the request, which may be some time after it arrived. */
     final long readUs;
-    /** By then its client must have its answer; changes once the last byte of an upload has come. */
+    /** Time by which the client must have its answer; set anew once an upload's last byte has arrived. */
     long deadlineUs;
-    /** When the last byte came of a body that was an upload; the greatest value until then. */
+    /** When an upload's last byte arrived, {@link Long#MAX_VALUE} until then; 0 if there is no upload. */
     long uploadedUs;
-    /** The attempt whose answer is being handed on, or null. */
+    /** The attempt whose answer is being passed on to the client, or null. */
     UpstreamAttempt answering;
-    /** Attempts that have not ended. */
+    /** Number of attempts that have not ended. */
     int attemptsOut;
-    /** Answers it as failed shortly before its deadline; null where none is armed. */
+    /** Timer that answers the request as failed shortly before its deadline; null if not started. */
     Future<?> guard;
-    /** How it was answered; null until then. */
+    /** How the request was answered; null until then. */
     private Result result;
     private long answeredUs;
     private boolean delivered;
@@ -46,42 +46,42 @@
         this.uploadedUs = inbound.upload() == null ? 0 : Long.MAX_VALUE;
     }
 
-    /** Whether its body is a large one of which the last byte has not come. */
+    /** Returns whether the body is an upload whose last byte has not arrived. */
     boolean uploading() {
         return uploadedUs == Long.MAX_VALUE;
     }
 
-    /** Whether its answer has been given, or its client has gone: nothing more is owed but the writing. */
+    /** Returns whether the request has been answered, even if not written yet, or its client has gone. */
     boolean answered() {
         return result != null;
     }
 
-    /** Its answer is given; a client that has gone is owed none, so nothing is left to be written. */
+    /** Records the answer; with {@link Result#GONE} there is none to be written. */
     void answer(Result how, long nowUs) {
         if (result != null) {
-            throw new IllegalStateException("request " + id + " is answered twice");
+            throw new IllegalStateException("request " + id + " answered twice");
         }
         result = how;
         answeredUs = nowUs;
         delivered = how == Result.GONE;
     }
 
-    /** The answer's last byte was written to the client's connection, or never will be. */
+    /** Records that the answer's last byte was written to the client's connection or can't be written. */
     void deliver() {
         delivered = true;
     }
 
-    /** Whether nothing of it is left: no answer owed or being written, no attempt out. */
+    /** Returns whether the request has ended: its answer is delivered and all attempts have ended. */
     boolean ended() {
         return delivered && attemptsOut == 0;
     }
 
-    /** Whether its client still waits for an answer at this time though its deadline has passed. */
+    /** Returns whether the client still waits for an answer although the deadline has passed. */
     boolean overdue(long nowUs) {
         return result == null && !uploading() && nowUs > deadlineUs;
     }
 
-    /** Its state in words, for the log: what it waits for, and when each step happened, from its arrival. */
+    /** Describes the request for the log: its age, time left, attempts and answer, timed from its arrival. */
     String state(long nowUs) {
         StringBuilder text = new StringBuilder("age=").append(sinceArrivalMs(nowUs)).append("ms left=")
                 .append((deadlineUs - nowUs) / 1000).append("ms");
--- a/src/main/java/larkworks/proxy/PendingRequests.java
+++ b/src/main/java/larkworks/proxy/PendingRequests.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All requests that were taken and have not ended, by id. This is the one place where a request ends, so that
- * what any owner forgot shows here: as a request without an answer past its deadline ({@link #overdue}), or
- * as one that is left when the process ends ({@link #logAll}). For the proxy's loop only.
+ * All requests that the driver has accepted and that have not ended, by id. Requests end nowhere else, so a
+ * leaked request shows here: without an answer past its deadline ({@link #overdue}), or still present when
+ * the process ends ({@link #logAll}). To be used on the proxy's event loop only.
  */
 final class PendingRequests {
 
@@ -27,7 +27,7 @@
         byId.put(request.id, request);
     }
 
-    /** The request with this id; null where there is none, or it has ended. */
+    /** Returns the request with this id; null if there is none or it has ended. */
     PendingRequest get(String id) {
         return byId.get(id);
     }
@@ -40,7 +40,7 @@
         return byId.isEmpty();
     }
 
-    /** Ends the request if nothing of it is left; returns whether it ended with this call. */
+    /** Removes the request if it has ended; returns whether this call removed it. */
     boolean endIfDone(PendingRequest request) {
         if (!request.ended() || byId.remove(request.id) == null) {
             return false;
@@ -52,13 +52,13 @@
         return true;
     }
 
-    /** Requests whose clients wait for an answer past their deadline: there must never be any. */
+    /** Returns the requests whose clients still wait past their deadlines, of which there must be none. */
     List<PendingRequest> overdue() {
         long now = clock.nowUs();
         return byId.values().stream().filter(request -> request.overdue(now)).toList();
     }
 
-    /** Writes each one that is left to the log, at level debug. */
+    /** Logs each pending request at debug level. */
     void logAll(String why) {
         if (!LOG.isDebugEnabled()) {
             return;
--- a/src/main/java/larkworks/proxy/RequestDecoder.java
+++ b/src/main/java/larkworks/proxy/RequestDecoder.java
@@ -8,13 +8,13 @@
 import io.netty.util.AsciiString;
 
 /**
- * Reads requests to the letter. Whatever two readers could take for different requests is marked as failed
- * to decode: a length beside a transfer coding, a coding other than chunked, a field name not ended by its
- * colon.
+ * Decodes requests strictly. Decoding fails for messages that two implementations could read as different
+ * requests (request smuggling): Content-Length beside Transfer-Encoding, or a field name that is not directly
+ * followed by its colon. Transfer codings other than chunked are rejected later, by {@link #codedOddly}.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
-    /** Bytes of a body that are handed on at a time at most. */
+    /** Maximum size of a body part that is passed on as one message. */
     private static final int PART = 32 << 10;
 
     RequestDecoder() {
@@ -23,7 +23,7 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both a length and a transfer coding");
+        throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
     @Override
@@ -32,7 +32,7 @@
         return super.splitHeaderName(line, start, length);
     }
 
-    /** Whether a request names a transfer coding that is not plainly chunked, or that its version lacks. */
+    /** Returns whether the transfer coding is not chunked, or not defined for the request's HTTP version. */
     static boolean codedOddly(HttpMessage request) {
         return Framing.codedOddly(request) || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 && !request.protocolVersion().equals(HttpVersion.HTTP_1_1);
--- a/src/main/java/larkworks/proxy/ResponseDecoder.java
+++ b/src/main/java/larkworks/proxy/ResponseDecoder.java
@@ -6,9 +6,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads responses to the letter. Netty's own reader forgives what RFC 9112 does not: it takes the first word
- * of a field line without a colon for a name, and any number for a version or status. What comes behind such
- * a line can't be trusted to be the answer, so the response is marked as failed to decode.
+ * Decodes responses strictly. Netty's decoder accepts messages that RFC 9112 forbids: it takes the first word
+ * of a header line without a colon as a field name, and any number as a version or status. The bytes after
+ * such a line can't be trusted to be the answer, so here decoding fails.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
 
@@ -18,7 +18,7 @@
     @Override
     protected HttpMessage createMessage(String[] statusLine) {
         if (!VERSION.matcher(statusLine[0]).matches() || !STATUS.matcher(statusLine[1]).matches()) {
-            throw new IllegalArgumentException("no status line of HTTP/1");
+            throw new IllegalArgumentException("invalid HTTP/1 status line");
         }
         return super.createMessage(statusLine);
     }
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -15,14 +15,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The body of a request on its way from a client to a backend, too large to be held whole. What came before a
- * backend takes it is kept, and can go to another one until more than a small part was written; what comes
- * then is written as it comes. While it waits for a backend the client is read on, within the common bound of
- * held bodies, as only reading shows that it has gone; else only while there is room.
+ * A request body that is too large to be buffered whole, passed from a client to a backend as it arrives. The
+ * bytes received before a backend is attached are buffered, and can be sent again to another backend until
+ * more than {@link BackendPool#MOST_BODY} bytes were written to one; later bytes are written as they arrive.
+ * While no backend is attached the client is still read, within the common limit of buffered bodies, as only
+ * reading shows that it has gone. Otherwise the client is read only while the backend's channel is writable.
  */
 final class Upload {
 
-    /** A request for a backend whose body follows from an upload. */
+    /** The head of a request to a backend whose body is an upload. */
     static final class Head extends DefaultHttpRequest {
         private final Upload body;
 
@@ -38,31 +39,33 @@
 
     private final Channel client;
     private final Flow flow;
-    /** Told to the backend; negative where the client tells none. */
+    /** The body's length as given by the client; negative for a chunked body. */
     private final long length;
-    /** All that has come, or null once it is more than can be held. */
+    /** All bytes received so far; null once too many were written for the body to be sent again. */
     private ByteBuf held;
-    /** The part of it that was written to the backend. */
+    /** Number of buffered bytes that were written to the current backend. */
     private int sent;
-    /** The latest write of what is held, or null. */
+    /** The latest write of buffered bytes, or null. */
     private ChannelFuture last;
     private Channel backend;
     private ChannelFutureListener written;
-    /** The last part, until it is known that the client has not left with it; else null. */
+    /** The last part, until it is known that the client didn't close its connection behind it; else null. */
     private ByteBuf tail;
     private boolean complete;
     private boolean discarded;
-    /** Whether the client is not read, since when, and for how long it was not before. */
+    /** Whether reading from the client is paused. */
     private boolean paused;
+    /** When the current pause began. */
     private long pausedAt;
+    /** Duration of all earlier pauses. */
     private long pausedNanos;
     private final Runnable onReleased;
     private Runnable onSpent = () -> { };
 
     /**
-     * Takes over what came so far.
+     * Takes ownership of the bytes received so far.
      *
-     * @param onReleased told when nothing of it is held any more
+     * @param onReleased run when the memory of the buffered bytes has been released
      */
     Upload(Channel client, Flow flow, long length, ByteBuf held, Runnable onReleased) {
         this.client = client;
@@ -72,11 +75,12 @@
         this.onReleased = onReleased;
     }
 
+    /** Sets the action to run once the body can't be sent to another backend any more. */
     void onSpent(Runnable action) {
         onSpent = action;
     }
 
-    /** How its length is told to a backend. */
+    /** Sets the header that gives the backend the body's length or its transfer coding. */
     void describe(HttpHeaders headers) {
         if (length >= 0) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
@@ -86,8 +90,9 @@
     }
 
     /**
-     * Begins to send to a backend, which the head was just written to; tells when the last byte has left, or
-     * that one can't.
+     * Starts to send the body to a backend, to which the request head has just been written.
+     *
+     * @param lastWritten notified when the last byte was written or a write has failed
      */
     void attach(Channel to, ChannelFutureListener lastWritten) {
         backend = to;
@@ -97,7 +102,7 @@
         regulate();
     }
 
-    /** The backend gets nothing more. */
+    /** Stops sending to the backend. */
     void detach(Channel from) {
         if (backend == from && from != null) {
             flow.end(from);
@@ -107,12 +112,12 @@
         }
     }
 
-    /** Whether no backend takes it now, so that what comes has to be held. */
+    /** Returns whether no backend is attached, so that received bytes are buffered. */
     boolean waits() {
         return backend == null && held != null && !discarded;
     }
 
-    /** Takes the next part from the client. */
+    /** Takes ownership of the next part of the body. */
     void part(ByteBuf content) {
         if (discarded || held == null && backend == null) {
             content.release();
@@ -126,12 +131,12 @@
         regulate();
     }
 
-    /** Takes the last part, with which the request would begin at its backend: it is held until completed. */
+    /** Keeps the last part until {@link #complete}, as the backend starts the request once it receives it. */
     void lastPart(ByteBuf content) {
         tail = content;
     }
 
-    /** The client has sent all, and has not left with it. */
+    /** Sends the last part: the client has sent the whole body and is still connected. */
     void complete() {
         part(tail);
         tail = null;
@@ -141,14 +146,17 @@
         }
     }
 
-    /** What was written goes out; to be called when nothing more is there to be read from the client. */
+    /** Flushes the writes to the backend; to be called after each batch of reads from the client. */
     void flush() {
         if (backend != null) {
             backend.flush();
         }
     }
 
-    /** Nobody wants the rest; it is still read, as the client may listen only after it has sent all. */
+    /**
+     * Drops the rest of the body. The client is still read, as it may read the answer only after it has sent
+     * the whole body.
+     */
     void discard() {
         discarded = true;
         if (tail != null) {
@@ -159,7 +167,7 @@
         client.config().setAutoRead(true);
     }
 
-    /** Reads from the client only what there is room for. */
+    /** Pauses reading from the client while the backend's channel is not writable. */
     void regulate() {
         if (discarded) {
             return;
@@ -174,12 +182,12 @@
         client.config().setAutoRead(room);
     }
 
-    /** How long the client has been kept waiting by now; 0 while it is read. */
+    /** Returns the duration of the current pause; 0 while the client is read. */
     long pauseMs() {
         return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAt);
     }
 
-    /** How long the client was kept waiting altogether. */
+    /** Returns the duration of all pauses, including the current one. */
     long pausedMs() {
         return TimeUnit.NANOSECONDS.toMillis(pausedNanos) + pauseMs();
     }
@@ -201,7 +209,7 @@
         flush();
     }
 
-    /** A part that can't be written is told like the end: no more will come, and this before the closing. */
+    /** Writes a part. A failed write notifies {@link #written}, before the channel's close is seen. */
     private ChannelFuture write(ByteBuf part) {
         ChannelFutureListener own = written;
         return backend.write(new DefaultHttpContent(part)).addListener((ChannelFuture done) -> {
@@ -222,7 +230,7 @@
             if (last == null) {
                 onReleased.run();
             } else {
-                // Until it has been written the backend's buffer holds it.
+                // The backend channel's write buffer holds the bytes until they are written.
                 last.addListener(written -> onReleased.run());
             }
         }
--- a/src/main/java/larkworks/proxy/package-info.java
+++ b/src/main/java/larkworks/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** The proxy: the decision module on real sockets, all of it on one event loop. */
+/** The proxy: connects the decision module to sockets, all on one event loop. */
 package larkworks.proxy;
