--- a/src/main/java/larkworks/proxy/Admin.java
+++ b/src/main/java/larkworks/proxy/Admin.java
@@ -92,7 +92,7 @@
         open.add(channel);
         channel.closeFuture().addListener(closed -> open.remove(channel));
         loop.schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
-        if (open.size() > MOST_CONNECTIONS && !lingering.evict()) {
+        if (open.size() > MOST_CONNECTIONS && !lingering.evictLongest()) {
             open.iterator().next().close();
         }
     }
--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -112,7 +112,7 @@
             connect(address, exchange);
         } else {
             // No descriptor is left here, which says nothing about the backend.
-            exchange.end(Answer.of(Outcome.NOT_SENT));
+            exchange.end(AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
@@ -130,7 +130,7 @@
             } else if (connected == null || SystemError.of(connected.cause()).isLocal()) {
                 notConnectedHere(address, exchange);
             } else {
-                exchange.end(Answer.of(Outcome.CONNECT_FAILED));
+                exchange.end(AttemptResult.of(Outcome.CONNECT_FAILED));
             }
         });
         exchange.connection = connection.channel == null ? null : connection;
@@ -147,7 +147,7 @@
             return;
         }
         if (exchange.localFailures == MOST_LOCAL_FAILURES) {
-            exchange.end(Answer.of(Outcome.NOT_SENT));
+            exchange.end(AttemptResult.of(Outcome.NOT_SENT));
             return;
         }
         loop.schedule(() -> {
@@ -272,7 +272,7 @@
             return -1;
         }
 
-        void ended(Answer answer);
+        void ended(AttemptResult answer);
     }
 
     /** Takes a large answer's body, part by part. */
@@ -340,13 +340,13 @@
             }
             if (message == null) {
                 keep(free);
-                end(Answer.of(Outcome.NOT_SENT));
+                end(AttemptResult.of(Outcome.NOT_SENT));
                 return;
             }
             connection = free;
             free.current = this;
             begun = true;
-            if (message instanceof Upload.Head head) {
+            if (message instanceof Upload.RequestHead head) {
                 upload = head.body();
                 free.channel.write(head);
                 upload.attach(free.channel, sent -> written(free, sent.isSuccess()));
@@ -374,10 +374,10 @@
 
         /** The connection is gone: the backend begins a request only when its last byte has come. */
         private void lost() {
-            end(Answer.of(written ? Outcome.RESET : Outcome.CONNECT_FAILED));
+            end(AttemptResult.of(written ? Outcome.RESET : Outcome.CONNECT_FAILED));
         }
 
-        private void answered(Answer answer, boolean reusable) {
+        private void answered(AttemptResult answer, boolean reusable) {
             Connection used = connection;
             if (reusable && written) {
                 used.restsUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REST_MS);
@@ -389,7 +389,7 @@
             end(answer);
         }
 
-        private void end(Answer answer) {
+        private void end(AttemptResult answer) {
             if (!done) {
                 done = true;
                 detach();
@@ -412,7 +412,7 @@
 
         Incoming(HttpResponse head) {
             this.head = head;
-            this.length = Framing.length(head);
+            this.length = HttpFraming.bodyLength(head);
         }
 
         boolean serves() {
@@ -423,17 +423,17 @@
             return head.headers().get(HttpHeaderNames.CONTENT_TYPE);
         }
 
-        Answer answer() {
+        AttemptResult answer() {
             HttpResponseStatus status = head.status();
             LoadReport load = report(head.headers().get("X-Load-Report"));
             if (serves()) {
-                return new Answer(Outcome.OK, sink == null ? ByteBufUtil.getBytes(held) : null, type(), load,
-                        false);
+                return new AttemptResult(Outcome.OK, sink == null ? ByteBufUtil.getBytes(held) : null, type(),
+                        load, false);
             }
             // Only this mark proves that the request never ran; any other status may come after its effect.
             boolean turnedAway = (status.code() == 503 || status.code() == 504)
                     && "1".equals(head.headers().get("X-Rejected"));
-            return new Answer(turnedAway ? Outcome.FULL : Outcome.ERROR, null, null, load,
+            return new AttemptResult(turnedAway ? Outcome.FULL : Outcome.ERROR, null, null, load,
                     status.equals(HttpResponseStatus.BAD_REQUEST));
         }
 
@@ -456,7 +456,7 @@
         /** Between an interim answer's head and its end. */
         private boolean interim;
         /** The answer to the current exchange, until all that came with it has been read. */
-        private Answer answer;
+        private AttemptResult answer;
         private boolean reusable;
         private long idleSince;
         private long restsUntil = System.nanoTime();
@@ -499,7 +499,7 @@
         private void begin(HttpResponse head) {
             if (current == null || answer != null || incoming != null
                     || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
-                    || Framing.codedOddly(head)) {
+                    || HttpFraming.hasUnsupportedTransferCoding(head)) {
                 // Nor is a body the backend's whose transfer coding is not undone here.
                 reject();
                 return;
@@ -604,7 +604,7 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             if (answer != null) {
-                Answer told = answer;
+                AttemptResult told = answer;
                 answer = null;
                 channel.config().setAutoRead(true);
                 current.answered(told, reusable);
@@ -616,7 +616,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (current != null && current.upload != null) {
-                current.upload.regulate();
+                current.upload.updateReading();
             }
         }
 
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -246,7 +246,7 @@
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
                         protected void initChannel(SocketChannel fresh) {
-                            fresh.pipeline().addLast(new ByteWatch(() -> stir(fresh)),
+                            fresh.pipeline().addLast(new ReadNotifier(() -> stir(fresh)),
                                     new HttpRequestEncoder(), new ResponseDecoder(), new Reader());
                         }
                     });
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -352,7 +352,7 @@
         }
 
         @Override
-        public void ended(UpstreamAttempt attempt, Answer answer) {
+        public void ended(UpstreamAttempt attempt, AttemptResult answer) {
             Driver.this.ended(attempt, answer);
         }
     };
@@ -377,7 +377,7 @@
 
     /** Requests whose clients wait for an answer past their deadline: there must never be any. */
     List<PendingRequest> overdue() {
-        return requests.overdue();
+        return requests.pastDeadline();
     }
 
     /** Writes what has not ended to the log, at level debug. */
@@ -492,7 +492,7 @@
     /** Ends an attempt that is out; the module hears of it once what goes on now is over. */
     private void callOff(UpstreamAttempt attempt, Outcome outcome) {
         attempt.abandon();
-        loop.execute(() -> ended(attempt, Answer.of(outcome)));
+        loop.execute(() -> ended(attempt, AttemptResult.of(outcome)));
     }
 
     private void retire() {
@@ -540,14 +540,14 @@
         if (inbound.upload() == null) {
             armGuard(pending, now);
         } else {
-            inbound.upload().onSpent(() -> enter(
+            inbound.upload().onNotRepeatable(() -> enter(
                     () -> pending.module.balancer.bodySpent(clock.nowUs(), pending.id)));
         }
         enter(() -> {
             try {
                 pending.module.balancer.request(clock.nowUs(), new Request(pending.id, inbound.requestClass(),
                         inbound.tenant(), Math.max(0, deadlineUs - clock.nowUs()), inbound.workUs(),
-                        inbound.again(), pending.uploading()));
+                        inbound.again(), pending.isUploading()));
             } catch (RuntimeException e) {
                 fault(pending, e);
             }
@@ -578,17 +578,17 @@
     }
 
     private void armGuard(PendingRequest pending, long now) {
-        pending.guard = loop.schedule(() -> guard(pending), Math.max(0, pending.deadlineUs - GUARD_US - now),
-                TimeUnit.MICROSECONDS);
+        pending.failureTimer = loop.schedule(() -> guard(pending),
+                Math.max(0, pending.deadlineUs - GUARD_US - now), TimeUnit.MICROSECONDS);
     }
 
     /** The last byte of an upload has come: from now on the request's time runs. */
     void uploaded(PendingRequest pending) {
-        if (pending.answered() || !pending.uploading()) {
+        if (pending.isAnswered() || !pending.isUploading()) {
             return;
         }
         long now = clock.nowUs();
-        pending.uploadedUs = now;
+        pending.uploadCompletedUs = now;
         pending.deadlineUs = dueUs(now, pending.inbound);
         armGuard(pending, now);
         pending.attempts.stream().filter(attempt -> !attempt.ended).forEach(attempt -> limit(attempt, now,
@@ -603,10 +603,10 @@
 
     /** The client has closed its connection. */
     void clientGone(PendingRequest pending) {
-        if (pending.answering != null && !pending.answering.ended) {
-            pending.answering.abandon();
-            ended(pending.answering, Answer.of(Outcome.CANCELLED));
-        } else if (!pending.answered()) {
+        if (pending.answeringAttempt != null && !pending.answeringAttempt.ended) {
+            pending.answeringAttempt.abandon();
+            ended(pending.answeringAttempt, AttemptResult.of(Outcome.CANCELLED));
+        } else if (!pending.isAnswered()) {
             finish(pending, Meters.Result.GONE);
             enter(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
             endIfDone(pending);
@@ -615,8 +615,8 @@
 
     /** All else is late: the client is answered while it waits; what comes later only informs the module. */
     private void guard(PendingRequest pending) {
-        if (!pending.answered()) {
-            boolean waits = pending.attemptsOut == 0;
+        if (!pending.isAnswered()) {
+            boolean waits = pending.openAttempts == 0;
             finish(pending, Meters.Result.FAILED);
             pending.client.failed(delivery(pending));
             if (waits) {
@@ -630,11 +630,11 @@
     private BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
             long length) {
         PendingRequest pending = attempt.request;
-        if (attempt.ended || pending.answered()) {
-            ended(attempt, Answer.of(Outcome.CANCELLED));
+        if (attempt.ended || pending.isAnswered()) {
+            ended(attempt, AttemptResult.of(Outcome.CANCELLED));
             return null;
         }
-        pending.answering = attempt;
+        pending.answeringAttempt = attempt;
         finish(pending, Meters.Result.SERVED);
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
@@ -647,11 +647,11 @@
 
     /** When the server could begin: with the last byte of the request. */
     private static long begunAtUs(UpstreamAttempt attempt) {
-        return attempt.request.uploading() ? attempt.sentAtUs
-                : Math.max(attempt.sentAtUs, attempt.request.uploadedUs);
+        return attempt.request.isUploading() ? attempt.sentAtUs
+                : Math.max(attempt.sentAtUs, attempt.request.uploadCompletedUs);
     }
 
-    private void ended(UpstreamAttempt attempt, Answer answer) {
+    private void ended(UpstreamAttempt attempt, AttemptResult answer) {
         if (attempt.ended) {
             return;
         }
@@ -670,19 +670,19 @@
                     .addKeyValue("outcome", answer.outcome()).log("attempt ended");
         }
         enter(() -> {
-            pending.attemptsOut--;
-            if (answer.outcome() == Outcome.OK && !pending.answered()) {
+            pending.openAttempts--;
+            if (answer.outcome() == Outcome.OK && !pending.isAnswered()) {
                 finish(pending, Meters.Result.SERVED);
-                pending.client.served(answer.body(), answer.type(), delivery(pending));
+                pending.client.served(answer.body(), answer.contentType(), delivery(pending));
             }
             long now = clock.nowUs();
             try {
-                if (answer.improper()) {
+                if (answer.invalidRequest()) {
                     withdraw(now, pending);
                 }
                 pending.module.balancer.outcome(now, pending.id, attempt.number, attempt.server,
-                        answer.improper() ? Outcome.CANCELLED : answer.outcome(), now - begunAtUs(attempt),
-                        pending.answered(), answer.report());
+                        answer.invalidRequest() ? Outcome.CANCELLED : answer.outcome(),
+                        now - begunAtUs(attempt), pending.isAnswered(), answer.report());
             } catch (RuntimeException e) {
                 fault(pending, e);
             }
@@ -692,7 +692,7 @@
 
     /** What no client sent is failed; it speaks neither against the backend nor for another attempt. */
     private void withdraw(long now, PendingRequest pending) {
-        if (!pending.answered()) {
+        if (!pending.isAnswered()) {
             finish(pending, Meters.Result.FAILED);
             pending.client.failed(delivery(pending));
             pending.module.balancer.clientGone(now, pending.id);
@@ -707,11 +707,11 @@
     /** Its answer is given, or its client has gone; who calls this has the answer written. */
     private void finish(PendingRequest pending, Meters.Result result) {
         long now = clock.nowUs();
-        invariants.check(result == Meters.Result.GONE || pending.uploading()
-                || now <= Math.max(pending.deadlineUs, pending.readUs) + ANSWER_SLACK_US,
+        invariants.check(result == Meters.Result.GONE || pending.isUploading()
+                || now <= Math.max(pending.deadlineUs, pending.dispatchedUs) + ANSWER_SLACK_US,
                 Rule.ANSWERED_IN_TIME,
-                pending.inbound.callId(), () -> pending.state(now));
-        pending.answer(result, now);
+                pending.inbound.callId(), () -> pending.describe(now));
+        pending.recordAnswer(result, now);
         if (pending.module == newest && result != Meters.Result.GONE) {
             requestsEnded++;
             requestsFailed += result == Meters.Result.SERVED ? 0 : 1;
@@ -720,13 +720,13 @@
             meters.answered(pending.inbound.requestClass(), result,
                     Math.max(0, clock.nowUs() - pending.inbound.takenAtUs()));
         }
-        if (pending.guard != null) {
-            pending.guard.cancel(false);
+        if (pending.failureTimer != null) {
+            pending.failureTimer.cancel(false);
         }
-        if (pending.uploading()) {
+        if (pending.isUploading()) {
             // No time-out runs on what will never be whole.
             pending.attempts.stream()
-                    .filter(attempt -> !attempt.ended && attempt != pending.answering)
+                    .filter(attempt -> !attempt.ended && attempt != pending.answeringAttempt)
                     .forEach(attempt -> callOff(attempt, Outcome.CANCELLED));
         }
     }
@@ -737,13 +737,13 @@
             if (!written && LOG.isDebugEnabled()) {
                 LOG.atDebug().addKeyValue("request", pending.inbound.callId()).log("answer not written");
             }
-            pending.deliver();
+            pending.markDelivered();
             endIfDone(pending);
         };
     }
 
     private void endIfDone(PendingRequest pending) {
-        if (requests.endIfDone(pending) && --pending.module.requests == 0 && pending.module != newest) {
+        if (requests.removeIfEnded(pending) && --pending.module.requests == 0 && pending.module != newest) {
             modules.remove(pending.module);
         }
     }
@@ -776,16 +776,16 @@
         UpstreamAttempt attempt = new UpstreamAttempt(pending, pending.attempts.size(), server, now,
                 attempts);
         pending.attempts.add(attempt);
-        pending.attemptsOut++;
+        pending.openAttempts++;
         long untilUs = timeoutUs > 0 ? Math.min(pending.deadlineUs, now + timeoutUs) : pending.deadlineUs;
         Backend backend = backends.get(server);
-        if (backend == null || out.contains(server) || pending.answered()
-                || untilUs <= now && !pending.uploading()
+        if (backend == null || out.contains(server) || pending.isAnswered()
+                || untilUs <= now && !pending.isUploading()
                 || pending.attempts.size() > settings.limits().maxAttempts()) {
-            ended(attempt, Answer.of(Outcome.NOT_SENT));
+            ended(attempt, AttemptResult.of(Outcome.NOT_SENT));
             return;
         }
-        if (pending.uploading()) {
+        if (pending.isUploading()) {
             attempt.untilUs = Long.MAX_VALUE;
         } else {
             limit(attempt, now, untilUs);
@@ -796,7 +796,7 @@
             // Thrown on, it would end the module's turn half-way, and this attempt never.
             LOG.atError().addKeyValue("request", pending.inbound.callId()).addKeyValue("backend", server)
                     .setCause(e).log("attempt not begun");
-            ended(attempt, Answer.of(Outcome.NOT_SENT));
+            ended(attempt, AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
@@ -804,7 +804,7 @@
         if (!attempt.ended) {
             attempt.abandon();
             // Still connecting, so no byte of it has left.
-            ended(attempt, Answer.of(attempt.begun() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
+            ended(attempt, AttemptResult.of(attempt.begun() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
         }
     }
 
@@ -815,7 +815,7 @@
     private HttpRequest message(UpstreamAttempt attempt, Backend backend) {
         long now = clock.nowUs();
         Inbound in = attempt.request.inbound;
-        long leftMs = attempt.request.uploading() ? in.timeLeftUs() / 1000 : (attempt.untilUs - now) / 1000;
+        long leftMs = attempt.request.isUploading() ? in.timeLeftUs() / 1000 : (attempt.untilUs - now) / 1000;
         RequestClass kind = settings.classes().get(in.requestClass());
         SendGuard.Verdict verdict = SendGuard.judge(attempt, kind, barred(attempt.server, backend), leftMs,
                 now);
@@ -831,7 +831,7 @@
         HttpRequest message = in.upload() == null
                 ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, in.method(), in.uri(),
                         Unpooled.wrappedBuffer(in.body()))
-                : new Upload.Head(HttpVersion.HTTP_1_1, in.method(), in.uri(), in.upload());
+                : new Upload.RequestHead(HttpVersion.HTTP_1_1, in.method(), in.uri(), in.upload());
         HttpHeaders headers = message.headers();
         headers.set(HttpHeaderNames.HOST, Addresses.text(backend.address));
         headers.set("X-Call-Id", in.callId());
@@ -844,7 +844,7 @@
             headers.set(HttpHeaderNames.CONTENT_TYPE, in.type());
         }
         if (in.upload() != null) {
-            in.upload().describe(headers);
+            in.upload().setLengthHeader(headers);
         } else if (in.body().length > 0 || !in.method().equals(HttpMethod.GET)) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, in.body().length);
         }
@@ -856,15 +856,15 @@
         PendingRequest pending = attempt.request;
         long now = clock.nowUs();
         String id = pending.inbound.callId();
-        Supplier<String> state = () -> pending.state(now);
-        invariants.check(!pending.answered() && pending.client.open(), Rule.ATTEMPT_FOR_WAITING_CLIENT, id,
+        Supplier<String> state = () -> pending.describe(now);
+        invariants.check(!pending.isAnswered() && pending.client.open(), Rule.ATTEMPT_FOR_WAITING_CLIENT, id,
                 state);
         invariants.check(backend.status == ServerStatus.UP
                 || now <= backend.downSinceUs + settings.rules().drainGraceUs(),
                 Rule.ATTEMPT_WITHIN_GRACE, id, state);
         invariants.check(SendGuard.repeatsSafely(attempt, kind, now - HELD_UP_US), Rule.REPEATED_SAFELY, id,
                 state);
-        invariants.check(pending.uploading() || leftMs * 1000 <= pending.deadlineUs - now + HELD_UP_US,
+        invariants.check(pending.isUploading() || leftMs * 1000 <= pending.deadlineUs - now + HELD_UP_US,
                 Rule.DEADLINE_PASSED_ON, id, state);
     }
 
@@ -876,10 +876,10 @@
 
     private void refuse(String request, long retryAfterUs) {
         PendingRequest pending = requests.get(request);
-        if (pending != null && !pending.answered()) {
+        if (pending != null && !pending.isAnswered()) {
             if (LOG.isDebugEnabled()) {
                 LOG.atDebug().addKeyValue("request", pending.inbound.callId())
-                        .addKeyValue("state", pending.state(clock.nowUs())).log("request refused");
+                        .addKeyValue("state", pending.describe(clock.nowUs())).log("request refused");
             }
             finish(pending, Meters.Result.REFUSED);
             pending.client.refused(retryAfterUs, delivery(pending));
@@ -888,7 +888,7 @@
 
     private void fail(String request) {
         PendingRequest pending = requests.get(request);
-        if (pending != null && !pending.answered()) {
+        if (pending != null && !pending.isAnswered()) {
             finish(pending, Meters.Result.FAILED);
             pending.client.failed(delivery(pending));
         }
@@ -901,7 +901,7 @@
         }
         UpstreamAttempt attempt = pending.attempts.get(number);
         attempt.abandon();
-        ended(attempt, Answer.of(Outcome.CANCELLED));
+        ended(attempt, AttemptResult.of(Outcome.CANCELLED));
     }
 
     private void probe(String server, Deciding module) {
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -73,7 +73,7 @@
      */
     private static final int MOST_HELD = 8 << 20;
     /** A transfer without progress for this long is cut off. */
-    private static final long STALL_MS = LingeringClose.STALL_MS;
+    private static final long STALL_TIMEOUT_MS = LingeringClose.STALL_TIMEOUT_MS;
     /**
      * An unproven connection can be evicted only after this time without bytes, as a valid request head may
      * arrive in several pieces.
@@ -109,13 +109,13 @@
     private final Set<Connection> idle = new LinkedHashSet<>();
     /** Connections that have not carried a valid request yet, the longest silent first. */
     private final Set<Connection> strangers = new LinkedHashSet<>();
-    private final Flow flow = new Flow();
+    private final WriteBufferShares writeBufferShares = new WriteBufferShares();
     /** Closes connections after their last answers. */
     private final LingeringClose lingering;
     private TcpListener listener;
     private Consumer<SystemError> onAcceptFailure = error -> { };
     private int connections;
-    private int heldBytes;
+    private int bufferedBytes;
     /** Whether a connection is being read outside the event loop's own read of it. */
     private boolean readingNow;
     private boolean warm;
@@ -155,7 +155,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         Connection connection = new Connection(channel);
-                        channel.pipeline().addLast(new ByteWatch(connection::stir),
+                        channel.pipeline().addLast(new ReadNotifier(connection::stir),
                                 new RequestDecoder(), new HttpResponseEncoder(), connection);
                     }
                 });
@@ -183,22 +183,22 @@
     }
 
     /** Ends the warm-up: from now on the proxy is ready whenever some backend can be sent a request. */
-    void ready() {
+    void setWarmedUp() {
         warm = true;
     }
 
     /** Returns whether clients can connect. */
-    boolean listens() {
+    boolean isListening() {
         return listener != null && listener.isActive();
     }
 
     /** Starts draining: the proxy is not ready, and each answer closes its connection; accepting goes on. */
     void drain() {
         draining = true;
-        lingering.limit(LAST_LINGER_MS);
+        lingering.setMaxLinger(LAST_LINGER_MS);
     }
 
-    boolean drains() {
+    boolean isDraining() {
         return draining;
     }
 
@@ -216,7 +216,7 @@
      * can't be seen: it is dropped unanswered, and its client, which sees the connection end after a complete
      * answer, sends it again.
      */
-    void closeUnused() {
+    void closeUnusedConnections() {
         List<Connection> unused = Stream.concat(idle.stream(),
                 strangers.stream().filter(Connection::silentLong))
                 .filter(Connection::unused).toList();
@@ -229,8 +229,8 @@
     }
 
     /** Returns the size of the buffered bodies of all requests. */
-    int heldBytes() {
-        return heldBytes;
+    int bufferedBytes() {
+        return bufferedBytes;
     }
 
     /** Returns the number of open client connections. */
@@ -244,22 +244,22 @@
     }
 
     /** Returns whether the proxy is ready: warmed up, not draining, and able to send to some backend. */
-    boolean serves() {
+    boolean isReady() {
         return warm && !draining && driver.canServe();
     }
 
     /** Closes the connection that has waited longest for its client to close; false if there is none. */
     boolean evictLingering() {
-        return lingering.evict();
+        return lingering.evictLongest();
     }
 
     /** Closes the unproven connection that has been silent longest; false if none has been silent enough. */
-    boolean evictStranger() {
+    boolean evictUnproven() {
         return evict(strangers, Connection::silentLong);
     }
 
     /** Closes the connection that has been idle longest, else any unproven one; false if there is neither. */
-    boolean evict() {
+    boolean evictIdle() {
         return evict(idle, any -> true) || evict(strangers, any -> true);
     }
 
@@ -327,7 +327,7 @@
 
     /** Checks that the head is valid and its transfer coding, length and Expect header are supported. */
     private static void checkBody(HttpRequest request) throws Rejected {
-        if (request.decoderResult().isFailure() || RequestDecoder.codedOddly(request)) {
+        if (request.decoderResult().isFailure() || RequestDecoder.hasUnsupportedTransferCoding(request)) {
             throw new Rejected(HttpResponseStatus.BAD_REQUEST, "broken request");
         }
         if (HttpUtil.getContentLength(request, 0L) > BackendPool.MOST_LARGE) {
@@ -370,7 +370,8 @@
         /** The earliest time at which the connection can have entered the listener's queue. */
         private final long queuedSinceNs = listener.queuedSinceNs();
         /** Messages that arrived behind the current request. */
-        private final Backlog later = new Backlog(change -> MOST_HELD - (heldBytes += change));
+        private final PipelinedMessages later =
+                new PipelinedMessages(change -> MOST_HELD - (bufferedBytes += change));
         /** The head of the current request, until its answer has been written; null between requests. */
         private HttpRequest head;
         /** Whether the current request's body is still being received. */
@@ -379,7 +380,7 @@
         private ByteBuf body;
         private Upload upload;
         private long received;
-        /** This connection's part of {@link #heldBytes}. */
+        /** This connection's part of {@link #bufferedBytes}. */
         private int holding;
         private long bodyFromMs;
         /** The current request as parsed from its head, without the body; null if it was rejected. */
@@ -413,9 +414,9 @@
                 connections--;
                 patience(null);
                 sockets.release();
-                driver.invariants().check(connections >= 0 && heldBytes >= 0 && sockets.consistent(),
+                driver.invariants().check(connections >= 0 && bufferedBytes >= 0 && sockets.consistent(),
                         Rule.COUNTS_NOT_NEGATIVE, "", () -> "connections=" + connections + " held_bytes="
-                                + heldBytes + " sockets=" + sockets.open());
+                                + bufferedBytes + " sockets=" + sockets.open());
             });
             if (!sockets.accepted()) {
                 // Further connections wait in the listener's queue until one closes.
@@ -463,7 +464,8 @@
          * Returns whether it was closed.
          */
         private boolean evict() {
-            boolean answered = LingeringClose.unwritten(channel) == 0 || nowMs() - stirredMs > STRANGER_MS;
+            boolean answered = LingeringClose.unwrittenBytes(channel) == 0
+                    || nowMs() - stirredMs > STRANGER_MS;
             if (!answered || !idleOf().remove(this)) {
                 return false;
             }
@@ -479,7 +481,7 @@
             if (!idleOf().contains(this)) {
                 return;
             }
-            if (LingeringClose.unwritten(channel) > 0) {
+            if (LingeringClose.unwrittenBytes(channel) > 0) {
                 finish(Unpooled.EMPTY_BUFFER, CloseReason.REQUEST_LATE);
             } else {
                 closed(CloseReason.REQUEST_LATE);
@@ -517,10 +519,10 @@
             if (closing) {
                 ReferenceCountUtil.release(object);
             } else if (!later.isEmpty() || head != null && !receiving) {
-                boolean first = !later.overrun();
+                boolean first = !later.hasDropped();
                 if (!later.add(object, now) && first) {
                     // Drops further bytes undecoded; they are read, as only reading shows the client's close.
-                    context.pipeline().addFirst(new LingeringClose.Discard());
+                    context.pipeline().addFirst(new LingeringClose.DiscardHandler());
                 }
             } else {
                 take(object, now);
@@ -613,16 +615,16 @@
                 if (!receiving || closing || !channel.isActive()) {
                     return;
                 }
-                if (bodyDueMs() <= nowMs() || upload != null && upload.pauseMs() > STALL_MS) {
+                if (bodyDueMs() <= nowMs() || upload != null && upload.currentPauseMs() > STALL_TIMEOUT_MS) {
                     cut(CloseReason.BODY_LATE);
                 } else {
                     watchBody();
                 }
-            }, Math.min(STALL_MS, Math.max(1, bodyDueMs() - nowMs())), TimeUnit.MILLISECONDS));
+            }, Math.min(STALL_TIMEOUT_MS, Math.max(1, bodyDueMs() - nowMs())), TimeUnit.MILLISECONDS));
         }
 
         private long bodyDueMs() {
-            return bodyFromMs + received * 1000 / LEAST_RATE + (upload == null ? 0 : upload.pausedMs());
+            return bodyFromMs + received * 1000 / LEAST_RATE + (upload == null ? 0 : upload.totalPauseMs());
         }
 
         private void receive(HttpContent content, long atUs) throws Rejected {
@@ -636,13 +638,13 @@
             }
             boolean last = content instanceof LastHttpContent;
             if (upload != null) {
-                if (upload.waits()) {
+                if (upload.isWaitingForBackend()) {
                     hold(part.readableBytes());
                 }
                 if (last) {
-                    upload.lastPart(part.retain());
+                    upload.setLastPart(part.retain());
                 } else {
-                    upload.part(part.retain());
+                    upload.addPart(part.retain());
                 }
             } else if (rejected == null && !isHealth()) {
                 hold(part.readableBytes());
@@ -658,28 +660,29 @@
 
         /** Reserves memory for more of a body, evicting silent unproven connections where it runs short. */
         private void hold(int bytes) throws Rejected {
-            while (heldBytes + bytes > MOST_HELD && evictStranger()) {
+            while (bufferedBytes + bytes > MOST_HELD && evictUnproven()) {
                 // Each iteration closes one connection, which frees the memory of its body.
             }
-            if (heldBytes + bytes > MOST_HELD) {
+            if (bufferedBytes + bytes > MOST_HELD) {
                 throw new Rejected(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the body");
             }
-            heldBytes += bytes;
+            bufferedBytes += bytes;
             holding += bytes;
         }
 
         private void holdNothing() {
-            heldBytes -= holding;
+            bufferedBytes -= holding;
             holding = 0;
         }
 
         /** Starts to pass the body on as it arrives, as it is too large to be buffered. */
         private void pass(long atUs) {
-            upload = new Upload(channel, flow, Framing.length(head), body, this::holdNothing);
+            upload = new Upload(channel, writeBufferShares, HttpFraming.bodyLength(head), body,
+                    this::holdNothing);
             body = null;
             dispatch(asked.with(null, upload, atUs));
             if (upload != null) {
-                upload.regulate();
+                upload.updateReading();
             }
         }
 
@@ -755,7 +758,7 @@
         private HttpResponseStatus health(String uri) {
             return switch (uri) {
                 case "/health/live" -> HttpResponseStatus.OK;
-                case "/health/ready" -> serves() ? HttpResponseStatus.OK
+                case "/health/ready" -> isReady() ? HttpResponseStatus.OK
                         : HttpResponseStatus.SERVICE_UNAVAILABLE;
                 default -> HttpResponseStatus.NOT_FOUND;
             };
@@ -783,7 +786,7 @@
             if (last) {
                 tell(finish(response, CloseReason.LAST_ANSWER), delivery);
             } else {
-                tell(lingering.watched(channel, channel.writeAndFlush(response)), delivery);
+                tell(lingering.resetIfStalled(channel, channel.writeAndFlush(response)), delivery);
                 next();
             }
         }
@@ -794,7 +797,7 @@
 
         /** Sets the answer's Connection header; returns whether the answer is the connection's last. */
         private boolean describeEnd(HttpResponse response) {
-            boolean last = !keep || receiving || (draining || later.overrun()) && later.isEmpty();
+            boolean last = !keep || receiving || (draining || later.hasDropped()) && later.isEmpty();
             if (last) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             } else if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
@@ -865,7 +868,7 @@
             if (!channel.isActive()) {
                 return;
             }
-            if (later.overrun() && !stirred) {
+            if (later.hasDropped() && !stirred) {
                 finish(Unpooled.EMPTY_BUFFER, CloseReason.TOO_MUCH_AHEAD);
                 return;
             }
@@ -881,8 +884,8 @@
 
         private void takeLater() {
             while (!later.isEmpty() && !closing && (head == null || receiving)) {
-                Backlog.Part first = later.poll();
-                take(first.object(), first.atUs());
+                PipelinedMessages.Entry first = later.poll();
+                take(first.message(), first.arrivalUs());
             }
             if (later.isEmpty() && upload == null) {
                 channel.config().setAutoRead(true);
@@ -957,7 +960,7 @@
                 response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
             }
             last = connection.describeEnd(response);
-            flow.begin(channel);
+            writeBufferShares.add(channel);
             channel.writeAndFlush(response);
             watch();
         }
@@ -965,14 +968,14 @@
         /** Cuts off a transfer without progress, whether the client or the backend causes the delay. */
         private void watch() {
             watch = loop.schedule(() -> {
-                long now = passed - LingeringClose.unwritten(channel);
+                long now = passed - LingeringClose.unwrittenBytes(channel);
                 if (now == seen) {
                     connection.cut(CloseReason.ANSWER_STALLED);
                 } else {
                     seen = now;
                     watch();
                 }
-            }, STALL_MS, TimeUnit.MILLISECONDS);
+            }, STALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -1019,7 +1022,7 @@
 
         private void stop(boolean written) {
             watch.cancel(false);
-            flow.end(channel);
+            writeBufferShares.remove(channel);
             delivery.ended(written);
         }
     }
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -91,7 +91,7 @@
                     answer -> ended(probe, answer));
         } catch (RuntimeException e) {
             LOG.atError().addKeyValue("backend", server).setCause(e).log("probe not begun");
-            ended(probe, Answer.of(Outcome.NOT_SENT));
+            ended(probe, AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
@@ -101,13 +101,13 @@
                 .filter(probe -> probe.server.equals(server) && !probe.exchange.begun()).toList();
         for (Probe probe : connecting) {
             probe.exchange.abandon();
-            loop.execute(() -> ended(probe, Answer.of(Outcome.NOT_SENT)));
+            loop.execute(() -> ended(probe, AttemptResult.of(Outcome.NOT_SENT)));
         }
     }
 
     private void timedOut(Probe probe) {
         probe.exchange.abandon();
-        ended(probe, Answer.of(Outcome.TIMEOUT));
+        ended(probe, AttemptResult.of(Outcome.TIMEOUT));
     }
 
     private FullHttpRequest message(InetSocketAddress address) {
@@ -117,7 +117,7 @@
         return message;
     }
 
-    private void ended(Probe probe, Answer answer) {
+    private void ended(Probe probe, AttemptResult answer) {
         if (!out.remove(probe)) {
             return;
         }
@@ -125,7 +125,7 @@
         probe.listener.probed(probe.server, answer.outcome(), clock.nowUs() - probe.sentAtUs, report(answer));
     }
 
-    private LoadReport report(Answer answer) {
+    private LoadReport report(AttemptResult answer) {
         if (answer.report() != null || !loadReports) {
             return answer.report();
         }
--- a/src/main/java/larkworks/proxy/LingeringClose.java
+++ b/src/main/java/larkworks/proxy/LingeringClose.java
@@ -23,29 +23,29 @@
 final class LingeringClose {
 
     /** A connection whose pending writes make no progress for this long is reset. */
-    static final long STALL_MS = 10_000;
+    static final long STALL_TIMEOUT_MS = 10_000;
 
     private final EventLoop loop;
-    private long mostMs;
+    private long maxLingerMs;
     /** Connections whose output is shut down, with the time at which it was, the earliest first. */
     private final Map<Channel, Long> lingering = new LinkedHashMap<>();
     /** Timer that closes the connection that has lingered longest; null if none lingers. */
-    private Future<?> expiry;
+    private Future<?> expiryTimer;
 
     /** Creates an instance that closes each connection after the given linger time at the latest. */
-    LingeringClose(EventLoop loop, long mostMs) {
+    LingeringClose(EventLoop loop, long maxLingerMs) {
         this.loop = loop;
-        this.mostMs = mostMs;
+        this.maxLingerMs = maxLingerMs;
     }
 
     /** Changes the maximum linger time, also for connections that linger now. */
-    void limit(long ms) {
-        mostMs = ms;
-        if (expiry != null) {
-            expiry.cancel(false);
-            expiry = null;
+    void setMaxLinger(long ms) {
+        maxLingerMs = ms;
+        if (expiryTimer != null) {
+            expiryTimer.cancel(false);
+            expiryTimer = null;
         }
-        expire();
+        closeExpired();
     }
 
     /**
@@ -55,12 +55,12 @@
      * @return the future of the write
      */
     ChannelFuture close(Channel channel, Object message) {
-        channel.pipeline().addFirst(new Discard());
+        channel.pipeline().addFirst(new DiscardHandler());
         // Only reading shows that the peer has closed.
         channel.config().setAutoRead(true);
-        return watched(channel, channel.writeAndFlush(message)).addListener(done -> {
+        return resetIfStalled(channel, channel.writeAndFlush(message)).addListener(done -> {
             if (done.isSuccess()) {
-                endSending(channel);
+                startLingering(channel);
             } else {
                 channel.close();
             }
@@ -68,13 +68,13 @@
     }
 
     /** Closes the connection that has lingered longest; false if none lingers. */
-    boolean evict() {
-        var all = lingering.keySet().iterator();
-        if (!all.hasNext()) {
+    boolean evictLongest() {
+        var channels = lingering.keySet().iterator();
+        if (!channels.hasNext()) {
             return false;
         }
-        Channel longest = all.next();
-        all.remove();
+        Channel longest = channels.next();
+        channels.remove();
         longest.close();
         return true;
     }
@@ -86,31 +86,31 @@
     }
 
     /** Returns the number of bytes in the channel's write buffer, not yet passed to the system. */
-    static long unwritten(Channel channel) {
-        ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
-        return waiting == null ? 0 : waiting.totalPendingWriteBytes();
+    static long unwrittenBytes(Channel channel) {
+        ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
+        return buffer == null ? 0 : buffer.totalPendingWriteBytes();
     }
 
-    /** Resets the connection if the write makes no progress for {@link #STALL_MS}; returns the same write. */
-    ChannelFuture watched(Channel channel, ChannelFuture written) {
+    /** Resets the connection if the write stalls for {@link #STALL_TIMEOUT_MS}; returns the write. */
+    ChannelFuture resetIfStalled(Channel channel, ChannelFuture written) {
         if (!written.isDone()) {
-            watch(channel, written);
+            scheduleStallCheck(channel, written);
         }
         return written;
     }
 
-    private void watch(Channel channel, ChannelFuture written) {
-        long before = unwritten(channel);
+    private void scheduleStallCheck(Channel channel, ChannelFuture written) {
+        long unwrittenBefore = unwrittenBytes(channel);
         loop.schedule(() -> {
-            if (!written.isDone() && unwritten(channel) == before) {
+            if (!written.isDone() && unwrittenBytes(channel) == unwrittenBefore) {
                 reset(channel);
             } else if (!written.isDone()) {
-                watch(channel, written);
+                scheduleStallCheck(channel, written);
             }
-        }, STALL_MS, TimeUnit.MILLISECONDS);
+        }, STALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void endSending(Channel channel) {
+    private void startLingering(Channel channel) {
         lingering.put(channel, nowMs());
         channel.closeFuture().addListener(closed -> lingering.remove(channel));
         ((DuplexChannel) channel).shutdownOutput().addListener(done -> {
@@ -118,24 +118,24 @@
                 channel.close();
             }
         });
-        expire();
+        closeExpired();
     }
 
     /** Closes the connections whose linger time is over, and starts the timer for the next one. */
-    private void expire() {
-        while (!lingering.isEmpty() && firstDueMs() <= 0) {
-            evict();
+    private void closeExpired() {
+        while (!lingering.isEmpty() && untilFirstExpiryMs() <= 0) {
+            evictLongest();
         }
-        if (expiry == null && !lingering.isEmpty()) {
-            expiry = loop.schedule(() -> {
-                expiry = null;
-                expire();
-            }, firstDueMs(), TimeUnit.MILLISECONDS);
+        if (expiryTimer == null && !lingering.isEmpty()) {
+            expiryTimer = loop.schedule(() -> {
+                expiryTimer = null;
+                closeExpired();
+            }, untilFirstExpiryMs(), TimeUnit.MILLISECONDS);
         }
     }
 
-    private long firstDueMs() {
-        return lingering.values().iterator().next() + mostMs - nowMs();
+    private long untilFirstExpiryMs() {
+        return lingering.values().iterator().next() + maxLingerMs - nowMs();
     }
 
     private static long nowMs() {
@@ -143,7 +143,7 @@
     }
 
     /** Drops received bytes before they are decoded. */
-    static final class Discard extends ChannelInboundHandlerAdapter {
+    static final class DiscardHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             ReferenceCountUtil.release(bytes);
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -102,7 +102,7 @@
             driver.invariants().onViolation(meters::violated);
             frontend.onAcceptFailure(meters::acceptFailed);
         }
-        sockets.evictors(frontend::evictLingering, frontend::evictStranger, pool::evict, frontend::evict);
+        sockets.evictors(frontend::evictLingering, frontend::evictUnproven, pool::evict, frontend::evictIdle);
     }
 
     /**
@@ -184,7 +184,7 @@
             }
         }).sync();
         if (shared) {
-            Admin operators = new Admin(loop, frontend::serves, maintenance, tables(), meters);
+            Admin operators = new Admin(loop, frontend::isReady, maintenance, tables(), meters);
             admin = listen(() -> operators.listen(config.admin()), config.admin());
         }
         // Warming up at the shared address would reach the other process, and backends through it.
@@ -257,7 +257,7 @@
 
     /** The list known from the configuration may be old, so a new one is waited for, but not for long. */
     private void serveOnceListed(long untilNanos) {
-        if (frontend.drains()) {
+        if (frontend.isDraining()) {
             // Told to end during its start: another process serves at the address, or will.
             return;
         }
@@ -280,7 +280,7 @@
     }
 
     private void ready() {
-        frontend.ready();
+        frontend.setWarmedUp();
         if (adoption != null) {
             adoption.start();
         }
@@ -305,7 +305,7 @@
 
     /** What is held for clients now, for tests that show it given back; to be asked on the loop. */
     Held held() {
-        return new Held(!driver.isIdle(), driver.overdue().size(), frontend.heldBytes(),
+        return new Held(!driver.isIdle(), driver.overdue().size(), frontend.bufferedBytes(),
                 frontend.connections(), driver.invariants().count());
     }
 
@@ -337,7 +337,7 @@
         // Not on the loop, which may come to it late.
         long toldUs = driver.clock().nowUs();
         loop.execute(() -> {
-            if (!frontend.listens() && member == null) {
+            if (!frontend.isListening() && member == null) {
                 // Nothing was taken, and nobody is to be told.
                 finished.countDown();
                 return;
@@ -373,14 +373,14 @@
 
     /** All answers have then left: each closes its connection. */
     private void endWhenIdle() {
-        frontend.closeUnused();
+        frontend.closeUnusedConnections();
         boolean late = driver.clock().nowUs() > driver.lastDueUs() + TRANSFER_MS * 1000;
         if (late) {
             LOG.warn("stopped with requests that have not ended");
             driver.logPending("the process ends");
         }
         if (late || driver.isIdle() && frontend.isEmpty()) {
-            driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.heldBytes() == 0,
+            driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.bufferedBytes() == 0,
                     Invariants.Rule.NOTHING_LEFT, "", () -> held().toString());
             finished.countDown();
         } else {
--- a/src/main/java/larkworks/proxy/PendingRequest.java
+++ b/src/main/java/larkworks/proxy/PendingRequest.java
@@ -19,45 +19,45 @@
     final Driver.Deciding module;
     final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     /** When the driver got the request, which may be some time after it arrived. */
-    final long readUs;
+    final long dispatchedUs;
     /** Time by which the client must have its answer; set anew once an upload's last byte has arrived. */
     long deadlineUs;
     /** When an upload's last byte arrived, {@link Long#MAX_VALUE} until then; 0 if there is no upload. */
-    long uploadedUs;
+    long uploadCompletedUs;
     /** The attempt whose answer is being passed on to the client, or null. */
-    UpstreamAttempt answering;
+    UpstreamAttempt answeringAttempt;
     /** Number of attempts that have not ended. */
-    int attemptsOut;
+    int openAttempts;
     /** Timer that answers the request as failed shortly before its deadline; null if not started. */
-    Future<?> guard;
+    Future<?> failureTimer;
     /** How the request was answered; null until then. */
     private Result result;
     private long answeredUs;
     private boolean delivered;
 
-    PendingRequest(String id, Driver.Inbound inbound, Driver.Client client, long readUs, long deadlineUs,
-            Driver.Deciding module) {
-        this.readUs = readUs;
+    PendingRequest(String id, Driver.Inbound inbound, Driver.Client client, long dispatchedUs,
+            long deadlineUs, Driver.Deciding module) {
+        this.dispatchedUs = dispatchedUs;
         this.id = id;
         this.inbound = inbound;
         this.client = client;
         this.deadlineUs = deadlineUs;
         this.module = module;
-        this.uploadedUs = inbound.upload() == null ? 0 : Long.MAX_VALUE;
+        this.uploadCompletedUs = inbound.upload() == null ? 0 : Long.MAX_VALUE;
     }
 
     /** Returns whether the body is an upload whose last byte has not arrived. */
-    boolean uploading() {
-        return uploadedUs == Long.MAX_VALUE;
+    boolean isUploading() {
+        return uploadCompletedUs == Long.MAX_VALUE;
     }
 
     /** Returns whether the request has been answered, even if not written yet, or its client has gone. */
-    boolean answered() {
+    boolean isAnswered() {
         return result != null;
     }
 
     /** Records the answer; with {@link Result#GONE} there is none to be written. */
-    void answer(Result how, long nowUs) {
+    void recordAnswer(Result how, long nowUs) {
         if (result != null) {
             throw new IllegalStateException("request " + id + " answered twice");
         }
@@ -67,22 +67,22 @@
     }
 
     /** Records that the answer's last byte was written to the client's connection or can't be written. */
-    void deliver() {
+    void markDelivered() {
         delivered = true;
     }
 
     /** Returns whether the request has ended: its answer is delivered and all attempts have ended. */
-    boolean ended() {
-        return delivered && attemptsOut == 0;
+    boolean hasEnded() {
+        return delivered && openAttempts == 0;
     }
 
     /** Returns whether the client still waits for an answer although the deadline has passed. */
-    boolean overdue(long nowUs) {
-        return result == null && !uploading() && nowUs > deadlineUs;
+    boolean isPastDeadline(long nowUs) {
+        return result == null && !isUploading() && nowUs > deadlineUs;
     }
 
     /** Describes the request for the log: its age, time left, attempts and answer, timed from its arrival. */
-    String state(long nowUs) {
+    String describe(long nowUs) {
         StringBuilder text = new StringBuilder("age=").append(sinceArrivalMs(nowUs)).append("ms left=")
                 .append((deadlineUs - nowUs) / 1000).append("ms");
         for (UpstreamAttempt attempt : attempts) {
--- a/src/main/java/larkworks/proxy/PendingRequests.java
+++ b/src/main/java/larkworks/proxy/PendingRequests.java
@@ -9,8 +9,8 @@
 
 /**
  * All requests that the driver has accepted and that have not ended, by id. Requests end nowhere else, so a
- * leaked request shows here: without an answer past its deadline ({@link #overdue}), or still present when
- * the process ends ({@link #logAll}). To be used on the proxy's event loop only.
+ * leaked request shows here: without an answer past its deadline ({@link #pastDeadline}), or still present
+ * when the process ends ({@link #logAll}). To be used on the proxy's event loop only.
  */
 final class PendingRequests {
 
@@ -41,21 +41,21 @@
     }
 
     /** Removes the request if it has ended; returns whether this call removed it. */
-    boolean endIfDone(PendingRequest request) {
-        if (!request.ended() || byId.remove(request.id) == null) {
+    boolean removeIfEnded(PendingRequest request) {
+        if (!request.hasEnded() || byId.remove(request.id) == null) {
             return false;
         }
         if (LOG.isDebugEnabled()) {
             LOG.atDebug().addKeyValue("request", request.inbound.callId())
-                    .addKeyValue("state", request.state(clock.nowUs())).log("request ended");
+                    .addKeyValue("state", request.describe(clock.nowUs())).log("request ended");
         }
         return true;
     }
 
     /** Returns the requests whose clients still wait past their deadlines, of which there must be none. */
-    List<PendingRequest> overdue() {
+    List<PendingRequest> pastDeadline() {
         long now = clock.nowUs();
-        return byId.values().stream().filter(request -> request.overdue(now)).toList();
+        return byId.values().stream().filter(request -> request.isPastDeadline(now)).toList();
     }
 
     /** Logs each pending request at debug level. */
@@ -65,6 +65,6 @@
         }
         long now = clock.nowUs();
         byId.values().forEach(request -> LOG.atDebug().addKeyValue("request", request.inbound.callId())
-                .addKeyValue("why", why).addKeyValue("state", request.state(now)).log("request pending"));
+                .addKeyValue("why", why).addKeyValue("state", request.describe(now)).log("request pending"));
     }
 }
--- a/src/main/java/larkworks/proxy/ByteWatch.java
+++ b/src/main/java/larkworks/proxy/ReadNotifier.java
@@ -4,11 +4,11 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /** Runs an action whenever bytes are read from a connection, before they are decoded. */
-final class ByteWatch extends ChannelInboundHandlerAdapter {
+final class ReadNotifier extends ChannelInboundHandlerAdapter {
 
     private final Runnable action;
 
-    ByteWatch(Runnable action) {
+    ReadNotifier(Runnable action) {
         this.action = action;
     }
 
--- a/src/main/java/larkworks/proxy/RequestDecoder.java
+++ b/src/main/java/larkworks/proxy/RequestDecoder.java
@@ -10,15 +10,16 @@
 /**
  * Decodes requests strictly. Decoding fails for messages that two implementations could read as different
  * requests (request smuggling): Content-Length beside Transfer-Encoding, or a field name that is not directly
- * followed by its colon. Transfer codings other than chunked are rejected later, by {@link #codedOddly}.
+ * followed by its colon. Callers reject other transfer codings than chunked, see
+ * {@link #hasUnsupportedTransferCoding}.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
     /** Maximum size of a body part that is passed on as one message. */
-    private static final int PART = 32 << 10;
+    private static final int MAX_PART_BYTES = 32 << 10;
 
     RequestDecoder() {
-        super(new HttpDecoderConfig().setMaxChunkSize(PART));
+        super(new HttpDecoderConfig().setMaxChunkSize(MAX_PART_BYTES));
     }
 
     @Override
@@ -28,13 +29,14 @@
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        Framing.requireColon(line, start, length);
+        HttpFraming.requireColon(line, start, length);
         return super.splitHeaderName(line, start, length);
     }
 
     /** Returns whether the transfer coding is not chunked, or not defined for the request's HTTP version. */
-    static boolean codedOddly(HttpMessage request) {
-        return Framing.codedOddly(request) || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
+    static boolean hasUnsupportedTransferCoding(HttpMessage request) {
+        return HttpFraming.hasUnsupportedTransferCoding(request)
+                || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 && !request.protocolVersion().equals(HttpVersion.HTTP_1_1);
     }
 }
--- a/src/main/java/larkworks/proxy/ResponseDecoder.java
+++ b/src/main/java/larkworks/proxy/ResponseDecoder.java
@@ -25,7 +25,7 @@
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        Framing.requireColon(line, start, length);
+        HttpFraming.requireColon(line, start, length);
         return super.splitHeaderName(line, start, length);
     }
 }
--- a/src/main/java/larkworks/proxy/SendGuard.java
+++ b/src/main/java/larkworks/proxy/SendGuard.java
@@ -26,7 +26,7 @@
         if (attempt.ended) {
             return Verdict.ATTEMPT_ENDED;
         }
-        if (attempt.request.answered()) {
+        if (attempt.request.isAnswered()) {
             return Verdict.ANSWERED;
         }
         if (barred) {
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -24,10 +24,10 @@
 final class Upload {
 
     /** The head of a request to a backend whose body is an upload. */
-    static final class Head extends DefaultHttpRequest {
+    static final class RequestHead extends DefaultHttpRequest {
         private final Upload body;
 
-        Head(HttpVersion version, HttpMethod method, String uri, Upload body) {
+        RequestHead(HttpVersion version, HttpMethod method, String uri, Upload body) {
             super(version, method, uri);
             this.body = body;
         }
@@ -38,7 +38,7 @@
     }
 
     private final Channel client;
-    private final Flow flow;
+    private final WriteBufferShares writeBufferShares;
     /** The body's length as given by the client; negative for a chunked body. */
     private final long length;
     /** All bytes received so far; null once too many were written for the body to be sent again. */
@@ -60,28 +60,29 @@
     /** Duration of all earlier pauses. */
     private long pausedNanos;
     private final Runnable onReleased;
-    private Runnable onSpent = () -> { };
+    private Runnable onNotRepeatable = () -> { };
 
     /**
      * Takes ownership of the bytes received so far.
      *
      * @param onReleased run when the memory of the buffered bytes has been released
      */
-    Upload(Channel client, Flow flow, long length, ByteBuf held, Runnable onReleased) {
+    Upload(Channel client, WriteBufferShares writeBufferShares, long length, ByteBuf held,
+            Runnable onReleased) {
         this.client = client;
-        this.flow = flow;
+        this.writeBufferShares = writeBufferShares;
         this.length = length;
         this.held = held;
         this.onReleased = onReleased;
     }
 
     /** Sets the action to run once the body can't be sent to another backend any more. */
-    void onSpent(Runnable action) {
-        onSpent = action;
+    void onNotRepeatable(Runnable action) {
+        onNotRepeatable = action;
     }
 
     /** Sets the header that gives the backend the body's length or its transfer coding. */
-    void describe(HttpHeaders headers) {
+    void setLengthHeader(HttpHeaders headers) {
         if (length >= 0) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else {
@@ -97,28 +98,28 @@
     void attach(Channel to, ChannelFutureListener lastWritten) {
         backend = to;
         written = lastWritten;
-        flow.begin(to);
+        writeBufferShares.add(to);
         pump();
-        regulate();
+        updateReading();
     }
 
     /** Stops sending to the backend. */
     void detach(Channel from) {
         if (backend == from && from != null) {
-            flow.end(from);
+            writeBufferShares.remove(from);
             backend = null;
             sent = 0;
-            regulate();
+            updateReading();
         }
     }
 
     /** Returns whether no backend is attached, so that received bytes are buffered. */
-    boolean waits() {
+    boolean isWaitingForBackend() {
         return backend == null && held != null && !discarded;
     }
 
     /** Takes ownership of the next part of the body. */
-    void part(ByteBuf content) {
+    void addPart(ByteBuf content) {
         if (discarded || held == null && backend == null) {
             content.release();
         } else if (held != null) {
@@ -128,17 +129,17 @@
         } else {
             write(content);
         }
-        regulate();
+        updateReading();
     }
 
     /** Keeps the last part until {@link #complete}, as the backend starts the request once it receives it. */
-    void lastPart(ByteBuf content) {
+    void setLastPart(ByteBuf content) {
         tail = content;
     }
 
     /** Sends the last part: the client has sent the whole body and is still connected. */
     void complete() {
-        part(tail);
+        addPart(tail);
         tail = null;
         complete = true;
         if (backend != null) {
@@ -168,7 +169,7 @@
     }
 
     /** Pauses reading from the client while the backend's channel is not writable. */
-    void regulate() {
+    void updateReading() {
         if (discarded) {
             return;
         }
@@ -183,13 +184,13 @@
     }
 
     /** Returns the duration of the current pause; 0 while the client is read. */
-    long pauseMs() {
+    long currentPauseMs() {
         return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAt);
     }
 
     /** Returns the duration of all pauses, including the current one. */
-    long pausedMs() {
-        return TimeUnit.NANOSECONDS.toMillis(pausedNanos) + pauseMs();
+    long totalPauseMs() {
+        return TimeUnit.NANOSECONDS.toMillis(pausedNanos) + currentPauseMs();
     }
 
     private void pump() {
@@ -204,7 +205,7 @@
             finish();
         } else if (sent > BackendPool.MOST_BODY) {
             release();
-            onSpent.run();
+            onNotRepeatable.run();
         }
         flush();
     }
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -19,7 +19,7 @@
         /** For so long an answer of unknown length is held; see {@link BackendPool.Receiver#holdUs}. */
         long holdUs(UpstreamAttempt attempt);
 
-        void ended(UpstreamAttempt attempt, Answer answer);
+        void ended(UpstreamAttempt attempt, AttemptResult answer);
     }
 
     final PendingRequest request;
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void ended(Answer answer) {
+    public void ended(AttemptResult answer) {
         listener.ended(this, answer);
     }
 }
--- a/src/test/java/larkworks/proxy/PendingRequestsTest.java
+++ b/src/test/java/larkworks/proxy/PendingRequestsTest.java
@@ -155,13 +155,14 @@
         listBackend(Config.address(bench.backends.get(0).address()));
         PendingRequest pending = take(20_000_000);
         bench.backends.get(0).next();
-        assertEquals(false, pending.overdue(pending.deadlineUs));
-        assertTrue(pending.overdue(pending.deadlineUs + 1));
+        assertEquals(false, pending.isPastDeadline(pending.deadlineUs));
+        assertTrue(pending.isPastDeadline(pending.deadlineUs + 1));
         onLoop(() -> {
             driver.clientGone(pending);
             return null;
         });
-        assertEquals(false, pending.overdue(pending.deadlineUs + 1), "a client that has gone waits no more");
+        assertEquals(false, pending.isPastDeadline(pending.deadlineUs + 1),
+                "a client that has gone waits no more");
     }
 
     @Test
@@ -172,6 +173,6 @@
         awaitAnswer();
         assertTrue(onLoop(() -> driver.overdue().isEmpty()));
         assertEquals(List.of("failed"), onLoop(() -> List.copyOf(answers.given)));
-        assertTrue(onLoop(pending::answered));
+        assertTrue(onLoop(pending::isAnswered));
     }
 }
