--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -64,39 +64,39 @@
      * Minimum rate of a request body, in bytes per second. Clients send at 64 kB/s or faster; a connection
      * well below that is cut off.
      */
-    private static final long LEAST_RATE = 48_000;
+    private static final long MIN_BODY_BYTES_PER_S = 48_000;
     /** Minimum time granted between a request head and the first bytes of its body. */
     private static final long BODY_GRACE_MS = 500;
     /**
      * Memory limit for the buffered bodies of all requests: small bodies, and the beginnings of bodies that
      * may still turn out to be large.
      */
-    private static final int MOST_HELD = 8 << 20;
+    private static final int MAX_BUFFERED_BYTES = 8 << 20;
     /** A transfer without progress for this long is cut off. */
     private static final long STALL_TIMEOUT_MS = LingeringClose.STALL_TIMEOUT_MS;
     /**
      * An unproven connection can be evicted only after this time without bytes, as a valid request head may
      * arrive in several pieces.
      */
-    private static final long SILENT_MS = 300;
+    private static final long MIN_SILENCE_MS = 300;
     /**
      * Time for a client to send a whole request head: from the connection's acceptance for the first request,
      * from the head's first byte for later ones. A connection that sends no request, or part of one, must be
      * closed within 3 s, and not within the first 2 s. It is also the maximum linger time.
      */
-    private static final long STRANGER_MS = 2_500;
+    private static final long REQUEST_TIMEOUT_MS = 2_500;
 
     /** Maximum time that a draining process waits for a client to close its side of the connection. */
-    private static final long LAST_LINGER_MS = 1_000;
+    private static final long DRAIN_LINGER_MS = 1_000;
 
     /** Bytes received longer ago than this don't prove that the client is still connected. */
-    private static final long FRESH_MS = 50;
+    private static final long RECENT_READ_MS = 50;
 
     /** Number of polls after which all bytes that arrived before a connection's acceptance have been read. */
     private static final int FIRST_READ_POLLS = 2;
 
     /** Maximum reads of one connection per loop turn: a usual request and the end of stream after it. */
-    private static final int MOST_READS = 16;
+    private static final int MAX_READS_PER_TURN = 16;
 
     private final EventLoop loop;
     private final Sockets sockets;
@@ -106,19 +106,19 @@
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
     /** Proven connections without a complete request in progress, the longest silent first. */
-    private final Set<Connection> idle = new LinkedHashSet<>();
+    private final Set<Connection> idleConnections = new LinkedHashSet<>();
     /** Connections that have not carried a valid request yet, the longest silent first. */
-    private final Set<Connection> strangers = new LinkedHashSet<>();
+    private final Set<Connection> unprovenConnections = new LinkedHashSet<>();
     private final WriteBufferShares writeBufferShares = new WriteBufferShares();
     /** Closes connections after their last answers. */
     private final LingeringClose lingering;
     private TcpListener listener;
     private Consumer<SystemError> onAcceptFailure = error -> { };
-    private int connections;
+    private int openConnections;
     private int bufferedBytes;
     /** Whether a connection is being read outside the event loop's own read of it. */
     private boolean readingNow;
-    private boolean warm;
+    private boolean warmedUp;
     private boolean draining;
 
     Frontend(Config config, EventLoop loop, Sockets sockets, Driver driver, PollTimes polls) {
@@ -126,7 +126,7 @@
         this.loop = loop;
         this.sockets = sockets;
         this.driver = driver;
-        this.lingering = new LingeringClose(loop, STRANGER_MS);
+        this.lingering = new LingeringClose(loop, REQUEST_TIMEOUT_MS);
         this.settings = config.settings();
         for (int i = 0; i < settings.classes().size(); i++) {
             classes.put(settings.classes().get(i).name(), i);
@@ -134,7 +134,7 @@
         for (int i = 0; i < settings.tenants().size(); i++) {
             tenants.put(settings.tenants().get(i).name(), i);
         }
-        sockets.onFreed(() -> accept(true));
+        sockets.onFreed(() -> setAccepting(true));
     }
 
     /**
@@ -150,12 +150,12 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 // Reads on after a short read, as the end of stream may follow: the client may have closed.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBuffers()
-                        .respectMaybeMoreData(false).maxMessagesPerRead(MOST_READS))
+                        .respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         Connection connection = new Connection(channel);
-                        channel.pipeline().addLast(new ReadNotifier(connection::stir),
+                        channel.pipeline().addLast(new ReadNotifier(connection::onBytesReceived),
                                 new RequestDecoder(), new HttpResponseEncoder(), connection);
                     }
                 });
@@ -178,13 +178,13 @@
     }
 
     /** Sets the action to run after each failed accept. */
-    void onAcceptFailure(Consumer<SystemError> told) {
-        onAcceptFailure = told;
+    void onAcceptFailure(Consumer<SystemError> action) {
+        onAcceptFailure = action;
     }
 
     /** Ends the warm-up: from now on the proxy is ready whenever some backend can be sent a request. */
     void setWarmedUp() {
-        warm = true;
+        warmedUp = true;
     }
 
     /** Returns whether clients can connect. */
@@ -195,7 +195,7 @@
     /** Starts draining: the proxy is not ready, and each answer closes its connection; accepting goes on. */
     void drain() {
         draining = true;
-        lingering.setMaxLinger(LAST_LINGER_MS);
+        lingering.setMaxLinger(DRAIN_LINGER_MS);
     }
 
     boolean isDraining() {
@@ -217,13 +217,13 @@
      * answer, sends it again.
      */
     void closeUnusedConnections() {
-        List<Connection> unused = Stream.concat(idle.stream(),
-                strangers.stream().filter(Connection::silentLong))
-                .filter(Connection::unused).toList();
-        unused.forEach(connection -> {
+        List<Connection> unusedConnections = Stream.concat(idleConnections.stream(),
+                unprovenConnections.stream().filter(Connection::isSilent))
+                .filter(Connection::isUnused).toList();
+        unusedConnections.forEach(connection -> {
             connection.readNow();
-            if (connection.unused()) {
-                connection.finish(Unpooled.EMPTY_BUFFER, CloseReason.UNUSED_AT_END);
+            if (connection.isUnused()) {
+                connection.writeLastAndClose(Unpooled.EMPTY_BUFFER, CloseReason.UNUSED_AT_END);
             }
         });
     }
@@ -234,18 +234,18 @@
     }
 
     /** Returns the number of open client connections. */
-    int connections() {
-        return connections;
+    int openConnections() {
+        return openConnections;
     }
 
     /** Returns whether the listener and all client connections are closed. */
     boolean isEmpty() {
-        return (listener == null || !listener.isOpen()) && connections == 0;
+        return (listener == null || !listener.isOpen()) && openConnections == 0;
     }
 
     /** Returns whether the proxy is ready: warmed up, not draining, and able to send to some backend. */
     boolean isReady() {
-        return warm && !draining && driver.canServe();
+        return warmedUp && !draining && driver.canServe();
     }
 
     /** Closes the connection that has waited longest for its client to close; false if there is none. */
@@ -255,20 +255,20 @@
 
     /** Closes the unproven connection that has been silent longest; false if none has been silent enough. */
     boolean evictUnproven() {
-        return evict(strangers, Connection::silentLong);
+        return evictFirst(unprovenConnections, Connection::isSilent);
     }
 
     /** Closes the connection that has been idle longest, else any unproven one; false if there is neither. */
     boolean evictIdle() {
-        return evict(idle, any -> true) || evict(strangers, any -> true);
+        return evictFirst(idleConnections, any -> true) || evictFirst(unprovenConnections, any -> true);
     }
 
-    private static boolean evict(Set<Connection> from, Predicate<Connection> wanted) {
+    private static boolean evictFirst(Set<Connection> candidates, Predicate<Connection> evictable) {
         // Iterates over a copy, as readNow moves each connection that has received bytes.
-        for (Connection chosen : List.copyOf(from)) {
-            if (wanted.test(chosen)) {
+        for (Connection chosen : List.copyOf(candidates)) {
+            if (evictable.test(chosen)) {
                 chosen.readNow();
-                if (wanted.test(chosen) && chosen.evict()) {
+                if (evictable.test(chosen) && chosen.evict()) {
                     return true;
                 }
             }
@@ -280,79 +280,80 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    private void accept(boolean on) {
+    private void setAccepting(boolean on) {
         if (listener != null) {
             listener.suspend(!on);
         }
     }
 
     /** Thrown for a request that is invalid or exceeds a limit; the status is the answer's. */
-    private static final class Rejected extends Exception {
+    private static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
 
-        Rejected(HttpResponseStatus status, String why) {
-            super(why, null, false, false);
+        RejectedException(HttpResponseStatus status, String reason) {
+            super(reason, null, false, false);
             this.status = status;
         }
     }
 
     /** Parses a request head. */
-    private Driver.Inbound read(HttpRequest request) throws Rejected {
+    private Driver.Inbound parseHead(HttpRequest request) throws RejectedException {
         HttpHeaders headers = request.headers();
         String id = headers.get("X-Call-Id");
         if (id == null || id.isBlank()) {
-            throw new Rejected(HttpResponseStatus.BAD_REQUEST, "no X-Call-Id");
+            throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "no X-Call-Id");
         }
-        String name = firstPart(request.uri());
-        Integer number = classes.get(name);
-        if (number == null || !name.equals(headers.get("X-Call-Class", name))) {
-            throw new Rejected(HttpResponseStatus.BAD_REQUEST, "unknown class");
+        String name = firstPathSegment(request.uri());
+        Integer classNumber = classes.get(name);
+        if (classNumber == null || !name.equals(headers.get("X-Call-Class", name))) {
+            throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "unknown class");
         }
-        RequestClass kind = settings.classes().get(number);
-        HttpMethod wanted = kind.effect() == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
-        if (!request.method().equals(wanted)) {
-            throw new Rejected(HttpResponseStatus.METHOD_NOT_ALLOWED, "wrong method");
+        RequestClass requestClass = settings.classes().get(classNumber);
+        HttpMethod expectedMethod = requestClass.effect() == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        if (!request.method().equals(expectedMethod)) {
+            throw new RejectedException(HttpResponseStatus.METHOD_NOT_ALLOWED, "wrong method");
         }
         String key = headers.get("Idempotency-Key");
-        if (kind.effect() == Effect.KEYED && key == null) {
-            throw new Rejected(HttpResponseStatus.BAD_REQUEST, "no Idempotency-Key");
+        if (requestClass.effect() == Effect.KEYED && key == null) {
+            throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "no Idempotency-Key");
         }
-        long budgetUs = number(headers, "X-Budget-Ms", kind.deadlineUs() / 1000) * 1000;
+        long budgetUs = numericHeader(headers, "X-Budget-Ms", requestClass.deadlineUs() / 1000) * 1000;
         return new Driver.Inbound(id, request.method(), request.uri(), key, null, null,
-                headers.get(HttpHeaderNames.CONTENT_TYPE), number,
+                headers.get(HttpHeaderNames.CONTENT_TYPE), classNumber,
                 tenants.getOrDefault(headers.get("X-Caller"), 0), budgetUs,
-                number(headers, "X-Call-Cost", 0), "1".equals(headers.get("X-Again")), 0);
+                numericHeader(headers, "X-Call-Cost", 0), "1".equals(headers.get("X-Again")), 0);
     }
 
     /** Checks that the head is valid and its transfer coding, length and Expect header are supported. */
-    private static void checkBody(HttpRequest request) throws Rejected {
+    private static void checkBody(HttpRequest request) throws RejectedException {
         if (request.decoderResult().isFailure() || RequestDecoder.hasUnsupportedTransferCoding(request)) {
-            throw new Rejected(HttpResponseStatus.BAD_REQUEST, "broken request");
+            throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "broken request");
         }
         if (HttpUtil.getContentLength(request, 0L) > BackendPool.MOST_LARGE) {
-            throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
+            throw new RejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
         }
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
         if (expected != null && !HttpUtil.is100ContinueExpected(request)) {
-            throw new Rejected(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
+            throw new RejectedException(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation");
         }
     }
 
-    private static long number(HttpHeaders headers, String name, long absent) throws Rejected {
+    private static long numericHeader(HttpHeaders headers, String name, long defaultValue)
+            throws RejectedException {
         String text = headers.get(name);
         if (text == null) {
-            return absent;
+            return defaultValue;
         }
         try {
             // Limits times to one day, which avoids overflows.
             return Math.min(86_400_000, Math.max(0, Long.parseLong(text.strip())));
         } catch (NumberFormatException e) {
-            throw new Rejected(HttpResponseStatus.BAD_REQUEST, name + " is no whole number");
+            throw new RejectedException(HttpResponseStatus.BAD_REQUEST, name + " is no whole number");
         }
     }
 
-    private static String firstPart(String uri) {
+    private static String firstPathSegment(String uri) {
         int end = 1;
         while (end < uri.length() && "/?".indexOf(uri.charAt(end)) < 0) {
             end++;
@@ -370,38 +371,38 @@
         /** The earliest time at which the connection can have entered the listener's queue. */
         private final long queuedSinceNs = listener.queuedSinceNs();
         /** Messages that arrived behind the current request. */
-        private final PipelinedMessages later =
-                new PipelinedMessages(change -> MOST_HELD - (bufferedBytes += change));
+        private final PipelinedMessages pipelined =
+                new PipelinedMessages(change -> MAX_BUFFERED_BYTES - (bufferedBytes += change));
         /** The head of the current request, until its answer has been written; null between requests. */
         private HttpRequest head;
         /** Whether the current request's body is still being received. */
-        private boolean receiving;
+        private boolean receivingBody;
         /** The body as received so far, while it may still be a small one; else null. */
         private ByteBuf body;
         private Upload upload;
-        private long received;
+        private long receivedBodyBytes;
         /** This connection's part of {@link #bufferedBytes}. */
-        private int holding;
-        private long bodyFromMs;
+        private int reservedBytes;
+        private long bodyRateStartMs;
         /** The current request as parsed from its head, without the body; null if it was rejected. */
-        private Driver.Inbound asked;
-        private Rejected rejected;
-        private boolean keep;
+        private Driver.Inbound parsedRequest;
+        private RejectedException rejection;
+        private boolean keepAlive;
         /** A complete request, until everything received in the same loop turn has been read; else null. */
-        private Driver.Inbound ready;
+        private Driver.Inbound completeRequest;
         /** Whether the driver has the current request and hasn't answered it yet. */
-        private boolean busy;
-        private PendingRequest held;
-        private Answering answering;
+        private boolean awaitingAnswer;
+        private PendingRequest pending;
+        private StreamedAnswer streamedAnswer;
         /** Whether the last answer is being written; further received messages are dropped. */
         private boolean closing;
         /** Whether a valid request has arrived; connections without one are closed early, to free sockets. */
-        private boolean proper;
+        private boolean proven;
         /** Whether bytes have arrived since the last request. */
-        private boolean stirred;
-        private long stirredMs = openedMs;
+        private boolean receivedSinceRequest;
+        private long lastReceivedMs = openedMs;
         /** Timer that closes the connection if the client doesn't send the rest of its request in time. */
-        private Future<?> patience;
+        private Future<?> requestTimeout;
 
         private Connection(Channel channel) {
             this.channel = channel;
@@ -409,30 +410,31 @@
 
         @Override
         public void handlerAdded(ChannelHandlerContext context) {
-            connections++;
+            openConnections++;
             channel.closeFuture().addListener(closed -> {
-                connections--;
-                patience(null);
+                openConnections--;
+                setRequestTimeout(null);
                 sockets.release();
-                driver.invariants().check(connections >= 0 && bufferedBytes >= 0 && sockets.consistent(),
-                        Rule.COUNTS_NOT_NEGATIVE, "", () -> "connections=" + connections + " held_bytes="
+                driver.invariants().check(openConnections >= 0 && bufferedBytes >= 0 && sockets.consistent(),
+                        Rule.COUNTS_NOT_NEGATIVE, "", () -> "connections=" + openConnections + " held_bytes="
                                 + bufferedBytes + " sockets=" + sockets.open());
             });
             if (!sockets.accepted()) {
                 // Further connections wait in the listener's queue until one closes.
-                accept(false);
+                setAccepting(false);
             }
-            patience(loop.schedule(this::lateRequest, STRANGER_MS, TimeUnit.MILLISECONDS));
-            idleOf().add(this);
+            setRequestTimeout(
+                    loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            waitingConnections().add(this);
         }
 
         /** Returns whether no request is in progress and none has begun to arrive. */
-        private boolean unused() {
-            return !closing && !stirred && head == null && channel.isActive();
+        private boolean isUnused() {
+            return !closing && !receivedSinceRequest && head == null && channel.isActive();
         }
 
-        private boolean silentLong() {
-            return nowMs() - stirredMs > SILENT_MS;
+        private boolean isSilent() {
+            return nowMs() - lastReceivedMs > MIN_SILENCE_MS;
         }
 
         /** Reads what the system has received, without waiting for the event loop, which may lag. */
@@ -452,8 +454,8 @@
          * client's close may be unread while the loop lags, and a delayed request must not be sent to a
          * backend long after its client has gone.
          */
-        private boolean connected() {
-            if (nowMs() - stirredMs > FRESH_MS) {
+        private boolean isConnected() {
+            if (nowMs() - lastReceivedMs > RECENT_READ_MS) {
                 readNow();
             }
             return channel.isActive();
@@ -465,67 +467,68 @@
          */
         private boolean evict() {
             boolean answered = LingeringClose.unwrittenBytes(channel) == 0
-                    || nowMs() - stirredMs > STRANGER_MS;
-            if (!answered || !idleOf().remove(this)) {
+                    || nowMs() - lastReceivedMs > REQUEST_TIMEOUT_MS;
+            if (!answered || !waitingConnections().remove(this)) {
                 return false;
             }
-            holdNothing();
-            closed(CloseReason.EVICTED);
+            releaseReserved();
+            logClosed(CloseReason.EVICTED);
             channel.close();
             return true;
         }
 
         /** Closes the connection if no complete request head has arrived in time; no answer is due. */
-        private void lateRequest() {
+        private void onRequestTimeout() {
             readNow();
-            if (!idleOf().contains(this)) {
+            if (!waitingConnections().contains(this)) {
                 return;
             }
             if (LingeringClose.unwrittenBytes(channel) > 0) {
-                finish(Unpooled.EMPTY_BUFFER, CloseReason.REQUEST_LATE);
+                writeLastAndClose(Unpooled.EMPTY_BUFFER, CloseReason.REQUEST_LATE);
             } else {
-                closed(CloseReason.REQUEST_LATE);
+                logClosed(CloseReason.REQUEST_LATE);
                 channel.close();
             }
         }
 
-        private Set<Connection> idleOf() {
-            return proper ? idle : strangers;
+        private Set<Connection> waitingConnections() {
+            return proven ? idleConnections : unprovenConnections;
         }
 
-        private void patience(Future<?> next) {
-            if (patience != null) {
-                patience.cancel(false);
+        private void setRequestTimeout(Future<?> next) {
+            if (requestTimeout != null) {
+                requestTimeout.cancel(false);
             }
-            patience = next;
+            requestTimeout = next;
         }
 
         /** Notes that bytes arrived, and starts the timeout of the request head that begins with them. */
-        private void stir() {
-            if (idleOf().remove(this)) {
-                idleOf().add(this);
+        private void onBytesReceived() {
+            if (waitingConnections().remove(this)) {
+                waitingConnections().add(this);
             }
-            if (!stirred && head == null && proper) {
-                patience(loop.schedule(this::lateRequest, STRANGER_MS, TimeUnit.MILLISECONDS));
+            if (!receivedSinceRequest && head == null && proven) {
+                setRequestTimeout(
+                        loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             }
-            stirred = true;
-            stirredMs = nowMs();
+            receivedSinceRequest = true;
+            lastReceivedMs = nowMs();
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             HttpObject object = (HttpObject) message;
-            long now = arrivedUs();
+            long arrivalUs = earliestArrivalUs();
             if (closing) {
                 ReferenceCountUtil.release(object);
-            } else if (!later.isEmpty() || head != null && !receiving) {
-                boolean first = !later.hasDropped();
-                if (!later.add(object, now) && first) {
+            } else if (!pipelined.isEmpty() || head != null && !receivingBody) {
+                boolean first = !pipelined.hasDropped();
+                if (!pipelined.add(object, arrivalUs) && first) {
                     // Drops further bytes undecoded; they are read, as only reading shows the client's close.
                     context.pipeline().addFirst(new LingeringClose.DiscardHandler());
                 }
             } else {
-                take(object, now);
+                process(object, arrivalUs);
             }
         }
 
@@ -534,7 +537,7 @@
          * also runs while this loop lags. On a connection just accepted the message may have arrived while
          * the connection was in the listener's queue.
          */
-        private long arrivedUs() {
+        private long earliestArrivalUs() {
             boolean first = polls.polls() <= openedPoll + FIRST_READ_POLLS;
             long unreadNs = first ? polls.unreadSinceNs(queuedSinceNs) : polls.unreadNs();
             return driver.clock().nowUs() - TimeUnit.NANOSECONDS.toMicros(unreadNs);
@@ -549,25 +552,25 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (answering != null && channel.isWritable()) {
-                answering.from.resume();
+            if (streamedAnswer != null && channel.isWritable()) {
+                streamedAnswer.exchange.resume();
             }
         }
 
-        private void take(HttpObject object, long atUs) {
+        private void process(HttpObject object, long arrivalUs) {
             try {
                 if (object instanceof HttpRequest request) {
-                    begin(request);
+                    beginRequest(request);
                 }
-                if (object instanceof HttpContent content && receiving) {
-                    receive(content, atUs);
+                if (object instanceof HttpContent content && receivingBody) {
+                    receiveBody(content, arrivalUs);
                 }
-            } catch (Rejected e) {
+            } catch (RejectedException e) {
                 reject(e);
             } catch (RuntimeException e) {
                 LOG.error("request failed", e);
                 if (head != null && !closing) {
-                    receiving = true;
+                    receivingBody = true;
                     answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, null, null);
                 }
             } finally {
@@ -575,137 +578,141 @@
             }
         }
 
-        private void begin(HttpRequest request) throws Rejected {
+        private void beginRequest(HttpRequest request) throws RejectedException {
             head = request;
-            receiving = true;
-            asked = null;
-            rejected = null;
-            received = 0;
+            receivingBody = true;
+            parsedRequest = null;
+            rejection = null;
+            receivedBodyBytes = 0;
             body = Unpooled.buffer(0);
-            keep = HttpUtil.isKeepAlive(request);
+            keepAlive = HttpUtil.isKeepAlive(request);
             // An unproven connection's time runs from its acceptance, a proven one's from the head.
-            bodyFromMs = Math.max(nowMs() + BODY_GRACE_MS, (proper ? nowMs() : openedMs) + STRANGER_MS);
-            watchBody();
+            bodyRateStartMs = Math.max(nowMs() + BODY_GRACE_MS,
+                    (proven ? nowMs() : openedMs) + REQUEST_TIMEOUT_MS);
+            scheduleBodyCheck();
             checkBody(request);
-            if (!isHealth()) {
+            if (!isHealthCheck()) {
                 try {
-                    asked = read(request);
-                } catch (Rejected e) {
+                    parsedRequest = parseHead(request);
+                } catch (RejectedException e) {
                     // Rejected once the body has been read, if that is small, so the connection can be kept.
-                    rejected = e;
+                    rejection = e;
                 }
             }
             if (HttpUtil.is100ContinueExpected(request)) {
-                if (rejected != null) {
-                    throw rejected;
+                if (rejection != null) {
+                    throw rejection;
                 }
                 channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                         HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
 
-        private boolean isHealth() {
+        private boolean isHealthCheck() {
             return head.method().equals(HttpMethod.GET) && head.uri().startsWith("/health/");
         }
 
         /** Cuts the connection off if the body arrives below the minimum rate or no backend takes it. */
-        private void watchBody() {
-            patience(loop.schedule(() -> {
+        private void scheduleBodyCheck() {
+            setRequestTimeout(loop.schedule(() -> {
                 readNow();
-                if (!receiving || closing || !channel.isActive()) {
+                if (!receivingBody || closing || !channel.isActive()) {
                     return;
                 }
-                if (bodyDueMs() <= nowMs() || upload != null && upload.currentPauseMs() > STALL_TIMEOUT_MS) {
-                    cut(CloseReason.BODY_LATE);
+                if (bodyDeadlineMs() <= nowMs()
+                        || upload != null && upload.currentPauseMs() > STALL_TIMEOUT_MS) {
+                    closeNow(CloseReason.BODY_LATE);
                 } else {
-                    watchBody();
+                    scheduleBodyCheck();
                 }
-            }, Math.min(STALL_TIMEOUT_MS, Math.max(1, bodyDueMs() - nowMs())), TimeUnit.MILLISECONDS));
+            }, Math.min(STALL_TIMEOUT_MS, Math.max(1, bodyDeadlineMs() - nowMs())), TimeUnit.MILLISECONDS));
         }
 
-        private long bodyDueMs() {
-            return bodyFromMs + received * 1000 / LEAST_RATE + (upload == null ? 0 : upload.totalPauseMs());
+        private long bodyDeadlineMs() {
+            return bodyRateStartMs + receivedBodyBytes * 1000 / MIN_BODY_BYTES_PER_S
+                    + (upload == null ? 0 : upload.totalPauseMs());
         }
 
-        private void receive(HttpContent content, long atUs) throws Rejected {
+        private void receiveBody(HttpContent content, long arrivalUs) throws RejectedException {
             if (content.decoderResult().isFailure()) {
-                throw new Rejected(HttpResponseStatus.BAD_REQUEST, "broken body");
+                throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "broken body");
             }
             ByteBuf part = content.content();
-            received += part.readableBytes();
-            if (received > BackendPool.MOST_LARGE || rejected != null && received > BackendPool.MOST_BODY) {
-                throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
+            receivedBodyBytes += part.readableBytes();
+            if (receivedBodyBytes > BackendPool.MOST_LARGE
+                    || rejection != null && receivedBodyBytes > BackendPool.MOST_BODY) {
+                throw new RejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             }
             boolean last = content instanceof LastHttpContent;
             if (upload != null) {
                 if (upload.isWaitingForBackend()) {
-                    hold(part.readableBytes());
+                    reserve(part.readableBytes());
                 }
                 if (last) {
                     upload.setLastPart(part.retain());
                 } else {
                     upload.addPart(part.retain());
                 }
-            } else if (rejected == null && !isHealth()) {
-                hold(part.readableBytes());
+            } else if (rejection == null && !isHealthCheck()) {
+                reserve(part.readableBytes());
                 body.writeBytes(part);
                 if (body.readableBytes() > BackendPool.MOST_BODY && !last) {
-                    pass(atUs);
+                    startUpload(arrivalUs);
                 }
             }
-            if (last && receiving) {
-                whole(atUs);
+            if (last && receivingBody) {
+                onRequestComplete(arrivalUs);
             }
         }
 
         /** Reserves memory for more of a body, evicting silent unproven connections where it runs short. */
-        private void hold(int bytes) throws Rejected {
-            while (bufferedBytes + bytes > MOST_HELD && evictUnproven()) {
+        private void reserve(int bytes) throws RejectedException {
+            while (bufferedBytes + bytes > MAX_BUFFERED_BYTES && evictUnproven()) {
                 // Each iteration closes one connection, which frees the memory of its body.
             }
-            if (bufferedBytes + bytes > MOST_HELD) {
-                throw new Rejected(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the body");
+            if (bufferedBytes + bytes > MAX_BUFFERED_BYTES) {
+                throw new RejectedException(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the body");
             }
             bufferedBytes += bytes;
-            holding += bytes;
+            reservedBytes += bytes;
         }
 
-        private void holdNothing() {
-            bufferedBytes -= holding;
-            holding = 0;
+        private void releaseReserved() {
+            bufferedBytes -= reservedBytes;
+            reservedBytes = 0;
         }
 
         /** Starts to pass the body on as it arrives, as it is too large to be buffered. */
-        private void pass(long atUs) {
+        private void startUpload(long arrivalUs) {
             upload = new Upload(channel, writeBufferShares, HttpFraming.bodyLength(head), body,
-                    this::holdNothing);
+                    this::releaseReserved);
             body = null;
-            dispatch(asked.with(null, upload, atUs));
+            dispatch(parsedRequest.with(null, upload, arrivalUs));
             if (upload != null) {
                 upload.updateReading();
             }
         }
 
-        private void whole(long atUs) {
-            receiving = false;
-            patience(null);
+        private void onRequestComplete(long arrivalUs) {
+            receivingBody = false;
+            setRequestTimeout(null);
             if (upload != null) {
                 Upload uploaded = upload;
                 loop.execute(() -> completeUpload(uploaded));
                 return;
             }
-            byte[] all = ByteBufUtil.getBytes(body);
+            byte[] bytes = ByteBufUtil.getBytes(body);
             body.release();
             body = null;
-            if (rejected != null) {
-                reject(rejected);
-            } else if (isHealth()) {
-                answer(health(head.uri()), null, null);
+            if (rejection != null) {
+                reject(rejection);
+            } else if (isHealthCheck()) {
+                answer(healthStatus(head.uri()), null, null);
             } else {
-                idleOf().remove(this);
-                proper = true;
-                ready = asked.with(all, null, atUs);
-                loop.execute(this::dispatchReady);
+                waitingConnections().remove(this);
+                proven = true;
+                completeRequest = parsedRequest.with(bytes, null, arrivalUs);
+                loop.execute(this::dispatchCompleteRequest);
             }
         }
 
@@ -713,16 +720,16 @@
         private void completeUpload(Upload uploaded) {
             if (upload == uploaded && channel.isActive()) {
                 upload.complete();
-                if (held != null) {
-                    driver.uploaded(held);
+                if (pending != null) {
+                    driver.uploaded(pending);
                 }
             }
         }
 
         /** Dispatches the complete request, unless the client closed its connection right behind it. */
-        private void dispatchReady() {
-            Driver.Inbound inbound = ready;
-            ready = null;
+        private void dispatchCompleteRequest() {
+            Driver.Inbound inbound = completeRequest;
+            completeRequest = null;
             if (inbound != null && channel.isActive() && !closing) {
                 dispatch(inbound);
             }
@@ -731,31 +738,31 @@
         private void dispatch(Driver.Inbound inbound) {
             driver.invariants().check(!closing && channel.isActive(), Rule.NO_REQUEST_AFTER_CLOSE,
                     inbound.callId(), () -> "closing=" + closing + " active=" + channel.isActive());
-            idleOf().remove(this);
-            proper = true;
-            busy = true;
-            PendingRequest taken = driver.request(inbound, new Client(this));
-            held = busy ? taken : null;
+            waitingConnections().remove(this);
+            proven = true;
+            awaitingAnswer = true;
+            PendingRequest dispatched = driver.request(inbound, new Client(this));
+            pending = awaitingAnswer ? dispatched : null;
         }
 
-        private void reject(Rejected why) {
-            if (why.status.equals(HttpResponseStatus.BAD_REQUEST) && why != rejected) {
+        private void reject(RejectedException reason) {
+            if (reason.status.equals(HttpResponseStatus.BAD_REQUEST) && reason != rejection) {
                 // After a malformed message the beginning of the next request is unknown.
-                keep = false;
+                keepAlive = false;
             }
-            if (held != null) {
-                PendingRequest broken = held;
-                held = null;
-                driver.clientGone(broken);
+            if (pending != null) {
+                PendingRequest abandoned = pending;
+                pending = null;
+                driver.clientGone(abandoned);
             }
-            if (answering == null) {
-                answer(why.status, why.getMessage().getBytes(StandardCharsets.US_ASCII), "text/plain");
+            if (streamedAnswer == null) {
+                answer(reason.status, reason.getMessage().getBytes(StandardCharsets.US_ASCII), "text/plain");
             } else {
-                cut(CloseReason.REQUEST_BROKEN);
+                closeNow(CloseReason.REQUEST_BROKEN);
             }
         }
 
-        private HttpResponseStatus health(String uri) {
+        private HttpResponseStatus healthStatus(String uri) {
             return switch (uri) {
                 case "/health/live" -> HttpResponseStatus.OK;
                 case "/health/ready" -> isReady() ? HttpResponseStatus.OK
@@ -782,22 +789,23 @@
                 response.headers().set(HttpHeaderNames.RETRY_AFTER,
                         String.format(Locale.ROOT, "%.3f", retryAfterUs / 1e6));
             }
-            boolean last = describeEnd(response);
+            boolean last = setConnectionHeader(response);
             if (last) {
-                tell(finish(response, CloseReason.LAST_ANSWER), delivery);
+                notifyWritten(writeLastAndClose(response, CloseReason.LAST_ANSWER), delivery);
             } else {
-                tell(lingering.resetIfStalled(channel, channel.writeAndFlush(response)), delivery);
-                next();
+                notifyWritten(lingering.resetIfStalled(channel, channel.writeAndFlush(response)), delivery);
+                nextRequest();
             }
         }
 
-        private void tell(ChannelFuture writing, Driver.Delivery delivery) {
+        private void notifyWritten(ChannelFuture writing, Driver.Delivery delivery) {
             writing.addListener(done -> delivery.ended(done.isSuccess()));
         }
 
         /** Sets the answer's Connection header; returns whether the answer is the connection's last. */
-        private boolean describeEnd(HttpResponse response) {
-            boolean last = !keep || receiving || (draining || later.hasDropped()) && later.isEmpty();
+        private boolean setConnectionHeader(HttpResponse response) {
+            boolean last = !keepAlive || receivingBody
+                    || (draining || pipelined.hasDropped()) && pipelined.isEmpty();
             if (last) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             } else if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
@@ -810,44 +818,44 @@
          * Writes the last message and closes the connection with a lingering close, as the client may read
          * the answer only after it has sent its whole request.
          */
-        private ChannelFuture finish(Object last, CloseReason why) {
-            closed(why);
-            drop();
+        private ChannelFuture writeLastAndClose(Object last, CloseReason reason) {
+            logClosed(reason);
+            stopProcessing();
             return lingering.close(channel, last);
         }
 
         /** Closes at once: with a reset if an answer that ends with its connection would look complete. */
-        private void cut(CloseReason why) {
-            closed(why);
-            if (answering != null && answering.endsWithConnection) {
+        private void closeNow(CloseReason reason) {
+            logClosed(reason);
+            if (streamedAnswer != null && streamedAnswer.endsWithConnection) {
                 LingeringClose.reset(channel);
             } else {
                 channel.close();
             }
         }
 
-        private void closed(CloseReason why) {
+        private void logClosed(CloseReason reason) {
             if (LOG.isDebugEnabled()) {
-                LOG.atDebug().addKeyValue("why", why).addKeyValue("client", channel.remoteAddress())
-                        .addKeyValue("request", held == null ? "" : held.inbound.callId())
+                LOG.atDebug().addKeyValue("why", reason).addKeyValue("client", channel.remoteAddress())
+                        .addKeyValue("request", pending == null ? "" : pending.inbound.callId())
                         .log("connection closed");
             }
         }
 
         /** Ends request processing: releases all buffers, and drops messages that arrive from now on. */
-        private void drop() {
+        private void stopProcessing() {
             closing = true;
-            ready = null;
-            idleOf().remove(this);
-            patience(null);
+            completeRequest = null;
+            waitingConnections().remove(this);
+            setRequestTimeout(null);
             releaseBody();
-            later.clear();
-            held = null;
-            busy = false;
+            pipelined.clear();
+            pending = null;
+            awaitingAnswer = false;
         }
 
         private void releaseBody() {
-            holdNothing();
+            releaseReserved();
             if (body != null) {
                 body.release();
                 body = null;
@@ -859,55 +867,55 @@
         }
 
         /** Ends the current request and starts the next one, if it has arrived. */
-        private void next() {
+        private void nextRequest() {
             releaseBody();
             head = null;
-            held = null;
-            busy = false;
-            stirred = !later.isEmpty();
+            pending = null;
+            awaitingAnswer = false;
+            receivedSinceRequest = !pipelined.isEmpty();
             if (!channel.isActive()) {
                 return;
             }
-            if (later.hasDropped() && !stirred) {
-                finish(Unpooled.EMPTY_BUFFER, CloseReason.TOO_MUCH_AHEAD);
+            if (pipelined.hasDropped() && !receivedSinceRequest) {
+                writeLastAndClose(Unpooled.EMPTY_BUFFER, CloseReason.TOO_MUCH_AHEAD);
                 return;
             }
-            idleOf().add(this);
-            patience(proper && !stirred ? null
-                    : loop.schedule(this::lateRequest, STRANGER_MS, TimeUnit.MILLISECONDS));
-            if (stirred) {
-                loop.execute(this::takeLater);
+            waitingConnections().add(this);
+            setRequestTimeout(proven && !receivedSinceRequest ? null
+                    : loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
+            if (receivedSinceRequest) {
+                loop.execute(this::processPipelined);
             } else {
                 channel.config().setAutoRead(true);
             }
         }
 
-        private void takeLater() {
-            while (!later.isEmpty() && !closing && (head == null || receiving)) {
-                PipelinedMessages.Entry first = later.poll();
-                take(first.message(), first.arrivalUs());
+        private void processPipelined() {
+            while (!pipelined.isEmpty() && !closing && (head == null || receivingBody)) {
+                PipelinedMessages.Entry first = pipelined.poll();
+                process(first.message(), first.arrivalUs());
             }
-            if (later.isEmpty() && upload == null) {
+            if (pipelined.isEmpty() && upload == null) {
                 channel.config().setAutoRead(true);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            strangers.remove(this);
-            idle.remove(this);
-            patience(null);
-            PendingRequest gone = held;
-            held = null;
-            if (answering != null) {
-                answering.stop(false);
-                answering = null;
+            unprovenConnections.remove(this);
+            idleConnections.remove(this);
+            setRequestTimeout(null);
+            PendingRequest abandoned = pending;
+            pending = null;
+            if (streamedAnswer != null) {
+                streamedAnswer.stop(false);
+                streamedAnswer = null;
             }
-            if (gone != null) {
-                driver.clientGone(gone);
+            if (abandoned != null) {
+                driver.clientGone(abandoned);
             }
             releaseBody();
-            later.clear();
+            pipelined.clear();
         }
 
         @Override
@@ -916,41 +924,41 @@
             if (!(cause instanceof IOException)) {
                 LOG.atError().setCause(cause).log("client connection failed");
             }
-            cut(CloseReason.FAILED);
+            closeNow(CloseReason.FAILED);
         }
 
-        private BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
+        private BackendPool.Sink beginStreamedAnswer(BackendPool.Exchange exchange, String type, long length,
                 Driver.Delivery delivery) {
-            answering = new Answering(this, from, type, length, delivery);
-            return answering;
+            streamedAnswer = new StreamedAnswer(this, exchange, type, length, delivery);
+            return streamedAnswer;
         }
     }
 
     /** Writes a large answer to the client as it arrives from the backend. */
-    private final class Answering implements BackendPool.Sink {
+    private final class StreamedAnswer implements BackendPool.Sink {
 
         private final Connection connection;
         private final Channel channel;
-        private final BackendPool.Exchange from;
+        private final BackendPool.Exchange exchange;
         private final Driver.Delivery delivery;
         /** Whether closing the connection marks the answer's end, as it has neither a length nor chunks. */
         private final boolean endsWithConnection;
         private final boolean last;
-        private long passed;
-        private long seen = -1;
-        private Future<?> watch;
+        private long passedBytes;
+        private long lastWrittenBytes = -1;
+        private Future<?> stallCheck;
 
-        private Answering(Connection connection, BackendPool.Exchange from, String type, long length,
+        private StreamedAnswer(Connection connection, BackendPool.Exchange exchange, String type, long length,
                 Driver.Delivery delivery) {
             this.delivery = delivery;
             this.connection = connection;
             this.channel = connection.channel;
-            this.from = from;
+            this.exchange = exchange;
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             endsWithConnection = length < 0
                     && connection.head.protocolVersion().equals(HttpVersion.HTTP_1_0);
             if (endsWithConnection) {
-                connection.keep = false;
+                connection.keepAlive = false;
             } else if (length < 0) {
                 response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             } else {
@@ -959,28 +967,28 @@
             if (type != null) {
                 response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
             }
-            last = connection.describeEnd(response);
+            last = connection.setConnectionHeader(response);
             writeBufferShares.add(channel);
             channel.writeAndFlush(response);
-            watch();
+            scheduleStallCheck();
         }
 
         /** Cuts off a transfer without progress, whether the client or the backend causes the delay. */
-        private void watch() {
-            watch = loop.schedule(() -> {
-                long now = passed - LingeringClose.unwrittenBytes(channel);
-                if (now == seen) {
-                    connection.cut(CloseReason.ANSWER_STALLED);
+        private void scheduleStallCheck() {
+            stallCheck = loop.schedule(() -> {
+                long writtenBytes = passedBytes - LingeringClose.unwrittenBytes(channel);
+                if (writtenBytes == lastWrittenBytes) {
+                    connection.closeNow(CloseReason.ANSWER_STALLED);
                 } else {
-                    seen = now;
-                    watch();
+                    lastWrittenBytes = writtenBytes;
+                    scheduleStallCheck();
                 }
             }, STALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         }
 
         @Override
         public boolean part(ByteBuf content) {
-            passed += content.readableBytes();
+            passedBytes += content.readableBytes();
             channel.write(new DefaultHttpContent(content));
             return channel.isWritable();
         }
@@ -992,36 +1000,36 @@
 
         @Override
         public void end() {
-            connection.answering = null;
-            connection.held = null;
+            connection.streamedAnswer = null;
+            connection.pending = null;
             if (last) {
-                watch.cancel(false);
-                connection.finish(LastHttpContent.EMPTY_LAST_CONTENT, CloseReason.LAST_ANSWER)
+                stallCheck.cancel(false);
+                connection.writeLastAndClose(LastHttpContent.EMPTY_LAST_CONTENT, CloseReason.LAST_ANSWER)
                         .addListener(done -> stop(done.isSuccess()));
                 return;
             }
             // The stall timer runs on until the last byte is written, as the client may still stop reading.
             channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT)
                     .addListener(done -> stop(done.isSuccess()));
-            connection.next();
+            connection.nextRequest();
         }
 
         /** Closes the connection so that the client sees a truncated answer, by framing or by a reset. */
         @Override
         public void broken() {
             stop(false);
-            connection.answering = null;
+            connection.streamedAnswer = null;
             if (endsWithConnection) {
-                connection.closed(CloseReason.ANSWER_BROKEN);
-                connection.drop();
+                connection.logClosed(CloseReason.ANSWER_BROKEN);
+                connection.stopProcessing();
                 LingeringClose.reset(channel);
             } else {
-                connection.finish(Unpooled.EMPTY_BUFFER, CloseReason.ANSWER_BROKEN);
+                connection.writeLastAndClose(Unpooled.EMPTY_BUFFER, CloseReason.ANSWER_BROKEN);
             }
         }
 
         private void stop(boolean written) {
-            watch.cancel(false);
+            stallCheck.cancel(false);
             writeBufferShares.remove(channel);
             delivery.ended(written);
         }
@@ -1032,7 +1040,7 @@
 
         @Override
         public boolean connected() {
-            return connection.connected();
+            return connection.isConnected();
         }
 
         @Override
@@ -1046,9 +1054,9 @@
         }
 
         @Override
-        public BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
+        public BackendPool.Sink begins(BackendPool.Exchange exchange, String type, long length,
                 Driver.Delivery delivery) {
-            return connection.begins(from, type, length, delivery);
+            return connection.beginStreamedAnswer(exchange, type, length, delivery);
         }
 
         @Override
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -306,7 +306,7 @@
     /** What is held for clients now, for tests that show it given back; to be asked on the loop. */
     Held held() {
         return new Held(!driver.isIdle(), driver.overdue().size(), frontend.bufferedBytes(),
-                frontend.connections(), driver.invariants().count());
+                frontend.openConnections(), driver.invariants().count());
     }
 
     /** The one loop, for tests that make several things happen in one turn of it. */
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -42,23 +42,23 @@
     /** The body's length as given by the client; negative for a chunked body. */
     private final long length;
     /** All bytes received so far; null once too many were written for the body to be sent again. */
-    private ByteBuf held;
+    private ByteBuf buffered;
     /** Number of buffered bytes that were written to the current backend. */
-    private int sent;
+    private int sentBytes;
     /** The latest write of buffered bytes, or null. */
-    private ChannelFuture last;
+    private ChannelFuture lastBufferedWrite;
     private Channel backend;
-    private ChannelFutureListener written;
+    private ChannelFutureListener onWritten;
     /** The last part, until it is known that the client didn't close its connection behind it; else null. */
-    private ByteBuf tail;
+    private ByteBuf lastPart;
     private boolean complete;
     private boolean discarded;
     /** Whether reading from the client is paused. */
     private boolean paused;
     /** When the current pause began. */
-    private long pausedAt;
+    private long pausedAtNs;
     /** Duration of all earlier pauses. */
-    private long pausedNanos;
+    private long pausedNs;
     private final Runnable onReleased;
     private Runnable onNotRepeatable = () -> { };
 
@@ -67,12 +67,12 @@
      *
      * @param onReleased run when the memory of the buffered bytes has been released
      */
-    Upload(Channel client, WriteBufferShares writeBufferShares, long length, ByteBuf held,
+    Upload(Channel client, WriteBufferShares writeBufferShares, long length, ByteBuf buffered,
             Runnable onReleased) {
         this.client = client;
         this.writeBufferShares = writeBufferShares;
         this.length = length;
-        this.held = held;
+        this.buffered = buffered;
         this.onReleased = onReleased;
     }
 
@@ -97,9 +97,9 @@
      */
     void attach(Channel to, ChannelFutureListener lastWritten) {
         backend = to;
-        written = lastWritten;
+        onWritten = lastWritten;
         writeBufferShares.add(to);
-        pump();
+        writeBuffered();
         updateReading();
     }
 
@@ -108,24 +108,24 @@
         if (backend == from && from != null) {
             writeBufferShares.remove(from);
             backend = null;
-            sent = 0;
+            sentBytes = 0;
             updateReading();
         }
     }
 
     /** Returns whether no backend is attached, so that received bytes are buffered. */
     boolean isWaitingForBackend() {
-        return backend == null && held != null && !discarded;
+        return backend == null && buffered != null && !discarded;
     }
 
     /** Takes ownership of the next part of the body. */
     void addPart(ByteBuf content) {
-        if (discarded || held == null && backend == null) {
+        if (discarded || buffered == null && backend == null) {
             content.release();
-        } else if (held != null) {
-            held.writeBytes(content);
+        } else if (buffered != null) {
+            buffered.writeBytes(content);
             content.release();
-            pump();
+            writeBuffered();
         } else {
             write(content);
         }
@@ -134,16 +134,16 @@
 
     /** Keeps the last part until {@link #complete}, as the backend starts the request once it receives it. */
     void setLastPart(ByteBuf content) {
-        tail = content;
+        lastPart = content;
     }
 
     /** Sends the last part: the client has sent the whole body and is still connected. */
     void complete() {
-        addPart(tail);
-        tail = null;
+        addPart(lastPart);
+        lastPart = null;
         complete = true;
         if (backend != null) {
-            finish();
+            writeEnd();
         }
     }
 
@@ -160,11 +160,11 @@
      */
     void discard() {
         discarded = true;
-        if (tail != null) {
-            tail.release();
-            tail = null;
+        if (lastPart != null) {
+            lastPart.release();
+            lastPart = null;
         }
-        release();
+        releaseBuffered();
         client.config().setAutoRead(true);
     }
 
@@ -175,9 +175,9 @@
         }
         boolean room = backend == null || backend.isWritable();
         if (room && paused) {
-            pausedNanos += System.nanoTime() - pausedAt;
+            pausedNs += System.nanoTime() - pausedAtNs;
         } else if (!room && !paused) {
-            pausedAt = System.nanoTime();
+            pausedAtNs = System.nanoTime();
         }
         paused = !room;
         client.config().setAutoRead(room);
@@ -185,54 +185,54 @@
 
     /** Returns the duration of the current pause; 0 while the client is read. */
     long currentPauseMs() {
-        return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAt);
+        return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAtNs);
     }
 
     /** Returns the duration of all pauses, including the current one. */
     long totalPauseMs() {
-        return TimeUnit.NANOSECONDS.toMillis(pausedNanos) + currentPauseMs();
+        return TimeUnit.NANOSECONDS.toMillis(pausedNs) + currentPauseMs();
     }
 
-    private void pump() {
-        if (backend == null || held == null) {
+    private void writeBuffered() {
+        if (backend == null || buffered == null) {
             return;
         }
-        if (sent < held.writerIndex()) {
-            last = write(held.retainedSlice(sent, held.writerIndex() - sent));
-            sent = held.writerIndex();
+        if (sentBytes < buffered.writerIndex()) {
+            lastBufferedWrite = write(buffered.retainedSlice(sentBytes, buffered.writerIndex() - sentBytes));
+            sentBytes = buffered.writerIndex();
         }
         if (complete) {
-            finish();
-        } else if (sent > BackendPool.MOST_BODY) {
-            release();
+            writeEnd();
+        } else if (sentBytes > BackendPool.MOST_BODY) {
+            releaseBuffered();
             onNotRepeatable.run();
         }
         flush();
     }
 
-    /** Writes a part. A failed write notifies {@link #written}, before the channel's close is seen. */
+    /** Writes a part. A failed write notifies {@link #onWritten}, before the channel's close is seen. */
     private ChannelFuture write(ByteBuf part) {
-        ChannelFutureListener own = written;
+        ChannelFutureListener listener = onWritten;
         return backend.write(new DefaultHttpContent(part)).addListener((ChannelFuture done) -> {
             if (!done.isSuccess()) {
-                own.operationComplete(done);
+                listener.operationComplete(done);
             }
         });
     }
 
-    private void finish() {
-        backend.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(written);
+    private void writeEnd() {
+        backend.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(onWritten);
     }
 
-    private void release() {
-        if (held != null) {
-            held.release();
-            held = null;
-            if (last == null) {
+    private void releaseBuffered() {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
+            if (lastBufferedWrite == null) {
                 onReleased.run();
             } else {
                 // The backend channel's write buffer holds the bytes until they are written.
-                last.addListener(written -> onReleased.run());
+                lastBufferedWrite.addListener(done -> onReleased.run());
             }
         }
     }
