--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -265,10 +265,10 @@
 
     private static boolean evictFirst(Set<Connection> candidates, Predicate<Connection> evictable) {
         // Iterates over a copy, as readNow moves each connection that has received bytes.
-        for (Connection chosen : List.copyOf(candidates)) {
-            if (evictable.test(chosen)) {
-                chosen.readNow();
-                if (evictable.test(chosen) && chosen.evict()) {
+        for (Connection candidate : List.copyOf(candidates)) {
+            if (evictable.test(candidate)) {
+                candidate.readNow();
+                if (evictable.test(candidate) && candidate.evict()) {
                     return true;
                 }
             }
@@ -326,7 +326,7 @@
     }
 
     /** Checks that the head is valid and its transfer coding, length and Expect header are supported. */
-    private static void checkBody(HttpRequest request) throws RejectedException {
+    private static void checkHead(HttpRequest request) throws RejectedException {
         if (request.decoderResult().isFailure() || RequestDecoder.hasUnsupportedTransferCoding(request)) {
             throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "broken request");
         }
@@ -370,7 +370,7 @@
         private final long openedPoll = polls.polls();
         /** The earliest time at which the connection can have entered the listener's queue. */
         private final long queuedSinceNs = listener.queuedSinceNs();
-        /** Messages that arrived behind the current request. */
+        /** Messages that arrived behind the current request (HTTP pipelining). */
         private final PipelinedMessages pipelined =
                 new PipelinedMessages(change -> MAX_BUFFERED_BYTES - (bufferedBytes += change));
         /** The head of the current request, until its answer has been written; null between requests. */
@@ -379,10 +379,12 @@
         private boolean receivingBody;
         /** The body as received so far, while it may still be a small one; else null. */
         private ByteBuf body;
+        /** The body once it has proved to be large; else null. */
         private Upload upload;
         private long receivedBodyBytes;
         /** This connection's part of {@link #bufferedBytes}. */
         private int reservedBytes;
+        /** Start of the time over which the body's rate is measured; lies in the future at first. */
         private long bodyRateStartMs;
         /** The current request as parsed from its head, without the body; null if it was rejected. */
         private Driver.Inbound parsedRequest;
@@ -392,7 +394,9 @@
         private Driver.Inbound completeRequest;
         /** Whether the driver has the current request and hasn't answered it yet. */
         private boolean awaitingAnswer;
+        /** The current request as the driver holds it, or null. */
         private PendingRequest pending;
+        /** The large answer that is being passed on to the client, or null. */
         private StreamedAnswer streamedAnswer;
         /** Whether the last answer is being written; further received messages are dropped. */
         private boolean closing;
@@ -433,6 +437,7 @@
             return !closing && !receivedSinceRequest && head == null && channel.isActive();
         }
 
+        /** Returns whether the connection has been silent for long enough to be evicted. */
         private boolean isSilent() {
             return nowMs() - lastReceivedMs > MIN_SILENCE_MS;
         }
@@ -477,7 +482,7 @@
             return true;
         }
 
-        /** Closes the connection if no complete request head has arrived in time; no answer is due. */
+        /** Closes the connection if no complete request head has arrived in time; it gets no answer. */
         private void onRequestTimeout() {
             readNow();
             if (!waitingConnections().contains(this)) {
@@ -491,15 +496,16 @@
             }
         }
 
+        /** Returns the set that contains this connection while it has no complete request. */
         private Set<Connection> waitingConnections() {
             return proven ? idleConnections : unprovenConnections;
         }
 
-        private void setRequestTimeout(Future<?> next) {
+        private void setRequestTimeout(Future<?> newTimeout) {
             if (requestTimeout != null) {
                 requestTimeout.cancel(false);
             }
-            requestTimeout = next;
+            requestTimeout = newTimeout;
         }
 
         /** Notes that bytes arrived, and starts the timeout of the request head that begins with them. */
@@ -522,8 +528,8 @@
             if (closing) {
                 ReferenceCountUtil.release(object);
             } else if (!pipelined.isEmpty() || head != null && !receivingBody) {
-                boolean first = !pipelined.hasDropped();
-                if (!pipelined.add(object, arrivalUs) && first) {
+                boolean noneDropped = !pipelined.hasDropped();
+                if (!pipelined.add(object, arrivalUs) && noneDropped) {
                     // Drops further bytes undecoded; they are read, as only reading shows the client's close.
                     context.pipeline().addFirst(new LingeringClose.DiscardHandler());
                 }
@@ -538,8 +544,8 @@
          * the connection was in the listener's queue.
          */
         private long earliestArrivalUs() {
-            boolean first = polls.polls() <= openedPoll + FIRST_READ_POLLS;
-            long unreadNs = first ? polls.unreadSinceNs(queuedSinceNs) : polls.unreadNs();
+            boolean firstRead = polls.polls() <= openedPoll + FIRST_READ_POLLS;
+            long unreadNs = firstRead ? polls.unreadSinceNs(queuedSinceNs) : polls.unreadNs();
             return driver.clock().nowUs() - TimeUnit.NANOSECONDS.toMicros(unreadNs);
         }
 
@@ -590,7 +596,7 @@
             bodyRateStartMs = Math.max(nowMs() + BODY_GRACE_MS,
                     (proven ? nowMs() : openedMs) + REQUEST_TIMEOUT_MS);
             scheduleBodyCheck();
-            checkBody(request);
+            checkHead(request);
             if (!isHealthCheck()) {
                 try {
                     parsedRequest = parseHead(request);
@@ -677,6 +683,7 @@
             reservedBytes += bytes;
         }
 
+        /** Returns the memory that this connection's body has reserved. */
         private void releaseReserved() {
             bufferedBytes -= reservedBytes;
             reservedBytes = 0;
@@ -772,18 +779,18 @@
         }
 
         /** Answers a request that was not sent to a backend. */
-        private void answer(HttpResponseStatus status, byte[] text, String type) {
-            answer(status, text, type, -1, written -> { });
+        private void answer(HttpResponseStatus status, byte[] content, String contentType) {
+            answer(status, content, contentType, -1, written -> { });
         }
 
-        private void answer(HttpResponseStatus status, byte[] text, String type, long retryAfterUs,
-                Driver.Delivery delivery) {
+        private void answer(HttpResponseStatus status, byte[] content, String contentType,
+                long retryAfterUs, Driver.Delivery delivery) {
             boolean bodiless = head.method().equals(HttpMethod.HEAD);
             FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                    text == null || bodiless ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(text));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text == null ? 0 : text.length);
-            if (type != null) {
-                response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+                    content == null || bodiless ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(content));
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content == null ? 0 : content.length);
+            if (contentType != null) {
+                response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
             }
             if (retryAfterUs > 0) {
                 response.headers().set(HttpHeaderNames.RETRY_AFTER,
@@ -890,6 +897,7 @@
             }
         }
 
+        /** Processes queued messages until one completes a request. */
         private void processPipelined() {
             while (!pipelined.isEmpty() && !closing && (head == null || receivingBody)) {
                 PipelinedMessages.Entry first = pipelined.poll();
@@ -927,9 +935,9 @@
             closeNow(CloseReason.FAILED);
         }
 
-        private BackendPool.Sink beginStreamedAnswer(BackendPool.Exchange exchange, String type, long length,
-                Driver.Delivery delivery) {
-            streamedAnswer = new StreamedAnswer(this, exchange, type, length, delivery);
+        private BackendPool.Sink beginStreamedAnswer(BackendPool.Exchange exchange, String contentType,
+                long length, Driver.Delivery delivery) {
+            streamedAnswer = new StreamedAnswer(this, exchange, contentType, length, delivery);
             return streamedAnswer;
         }
     }
@@ -943,13 +951,16 @@
         private final Driver.Delivery delivery;
         /** Whether closing the connection marks the answer's end, as it has neither a length nor chunks. */
         private final boolean endsWithConnection;
+        /** Whether this is the connection's last answer. */
         private final boolean last;
+        /** Number of bytes received from the backend. */
         private long passedBytes;
+        /** Number of bytes written to the client's socket at the latest stall check. */
         private long lastWrittenBytes = -1;
         private Future<?> stallCheck;
 
-        private StreamedAnswer(Connection connection, BackendPool.Exchange exchange, String type, long length,
-                Driver.Delivery delivery) {
+        private StreamedAnswer(Connection connection, BackendPool.Exchange exchange, String contentType,
+                long length, Driver.Delivery delivery) {
             this.delivery = delivery;
             this.connection = connection;
             this.channel = connection.channel;
@@ -964,8 +975,8 @@
             } else {
                 response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
             }
-            if (type != null) {
-                response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+            if (contentType != null) {
+                response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
             }
             last = connection.setConnectionHeader(response);
             writeBufferShares.add(channel);
@@ -1049,14 +1060,14 @@
         }
 
         @Override
-        public void served(byte[] body, String type, Driver.Delivery delivery) {
-            connection.answer(HttpResponseStatus.OK, body, type, -1, delivery);
+        public void served(byte[] body, String contentType, Driver.Delivery delivery) {
+            connection.answer(HttpResponseStatus.OK, body, contentType, -1, delivery);
         }
 
         @Override
-        public BackendPool.Sink begins(BackendPool.Exchange exchange, String type, long length,
+        public BackendPool.Sink begins(BackendPool.Exchange exchange, String contentType, long length,
                 Driver.Delivery delivery) {
-            return connection.beginStreamedAnswer(exchange, type, length, delivery);
+            return connection.beginStreamedAnswer(exchange, contentType, length, delivery);
         }
 
         @Override
--- a/src/main/java/larkworks/proxy/LingeringClose.java
+++ b/src/main/java/larkworks/proxy/LingeringClose.java
@@ -27,7 +27,7 @@
 
     private final EventLoop loop;
     private long maxLingerMs;
-    /** Connections whose output is shut down, with the time at which it was, the earliest first. */
+    /** Connections whose output is shut down, with the time of the shutdown, the earliest first. */
     private final Map<Channel, Long> lingering = new LinkedHashMap<>();
     /** Timer that closes the connection that has lingered longest; null if none lingers. */
     private Future<?> expiryTimer;
@@ -134,6 +134,7 @@
         }
     }
 
+    /** Returns the time until the connection that has lingered longest must be closed. */
     private long untilFirstExpiryMs() {
         return lingering.values().iterator().next() + maxLingerMs - nowMs();
     }
--- a/src/main/java/larkworks/proxy/PendingRequest.java
+++ b/src/main/java/larkworks/proxy/PendingRequest.java
@@ -12,6 +12,7 @@
  */
 final class PendingRequest {
 
+    /** The id under which the decision module knows the request, assigned by the driver. */
     final String id;
     final Driver.Inbound inbound;
     final Driver.Client client;
@@ -33,6 +34,7 @@
     /** How the request was answered; null until then. */
     private Result result;
     private long answeredUs;
+    /** Whether the answer was written, can't be written, or is not wanted any more. */
     private boolean delivered;
 
     PendingRequest(String id, Driver.Inbound inbound, Driver.Client client, long dispatchedUs,
@@ -57,13 +59,13 @@
     }
 
     /** Records the answer; with {@link Result#GONE} there is none to be written. */
-    void recordAnswer(Result how, long nowUs) {
+    void recordAnswer(Result newResult, long nowUs) {
         if (result != null) {
             throw new IllegalStateException("request " + id + " answered twice");
         }
-        result = how;
+        result = newResult;
         answeredUs = nowUs;
-        delivered = how == Result.GONE;
+        delivered = newResult == Result.GONE;
     }
 
     /** Records that the answer's last byte was written to the client's connection or can't be written. */
--- a/src/main/java/larkworks/proxy/PipelinedMessages.java
+++ b/src/main/java/larkworks/proxy/PipelinedMessages.java
@@ -30,47 +30,47 @@
     }
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>(2);
-    private final IntUnaryOperator accountant;
+    private final IntUnaryOperator changeTotal;
     private int sizeBytes;
     private boolean dropped;
 
     /**
      * Creates an empty queue.
      *
-     * @param accountant adds a change of this queue's size to the total of all connections, and returns how
-     *     many bytes are left of the total's limit
+     * @param changeTotal adds its argument, a change of this queue's size, to the total size that all
+     *     connections buffer, and returns how many bytes are left of the total's limit
      */
-    PipelinedMessages(IntUnaryOperator accountant) {
-        this.accountant = accountant;
+    PipelinedMessages(IntUnaryOperator changeTotal) {
+        this.changeTotal = changeTotal;
     }
 
     /** Adds a message; false if it and all later ones are dropped because one has exceeded a limit. */
     boolean add(HttpObject message, long arrivalUs) {
         Entry entry = new Entry(message, arrivalUs);
         if (dropped || sizeBytes + entry.sizeBytes() > MAX_BYTES
-                || accountant.applyAsInt(0) < entry.sizeBytes()) {
+                || changeTotal.applyAsInt(0) < entry.sizeBytes()) {
             dropped = true;
             ReferenceCountUtil.release(message);
             while (!entries.isEmpty() && !(entries.peekLast().message() instanceof LastHttpContent)) {
                 // Drops the messages of the last request, which is now incomplete.
-                ReferenceCountUtil.release(removed(entries.pollLast()).message());
+                ReferenceCountUtil.release(subtractSize(entries.pollLast()).message());
             }
             return false;
         }
         entries.add(entry);
         sizeBytes += entry.sizeBytes();
-        accountant.applyAsInt(entry.sizeBytes());
+        changeTotal.applyAsInt(entry.sizeBytes());
         return true;
     }
 
     /** Removes and returns the oldest message. */
     Entry poll() {
-        return removed(entries.poll());
+        return subtractSize(entries.poll());
     }
 
-    private Entry removed(Entry entry) {
+    private Entry subtractSize(Entry entry) {
         sizeBytes -= entry.sizeBytes();
-        accountant.applyAsInt(-entry.sizeBytes());
+        changeTotal.applyAsInt(-entry.sizeBytes());
         return entry;
     }
 
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -48,9 +48,11 @@
     /** The latest write of buffered bytes, or null. */
     private ChannelFuture lastBufferedWrite;
     private Channel backend;
+    /** Notified when the last byte was written to the current backend or a write has failed. */
     private ChannelFutureListener onWritten;
     /** The last part, until it is known that the client didn't close its connection behind it; else null. */
     private ByteBuf lastPart;
+    /** Whether the client has sent the whole body. */
     private boolean complete;
     private boolean discarded;
     /** Whether reading from the client is paused. */
@@ -93,20 +95,20 @@
     /**
      * Starts to send the body to a backend, to which the request head has just been written.
      *
-     * @param lastWritten notified when the last byte was written or a write has failed
+     * @param writeListener notified when the last byte was written or a write has failed
      */
-    void attach(Channel to, ChannelFutureListener lastWritten) {
-        backend = to;
-        onWritten = lastWritten;
-        writeBufferShares.add(to);
+    void attach(Channel channel, ChannelFutureListener writeListener) {
+        backend = channel;
+        onWritten = writeListener;
+        writeBufferShares.add(channel);
         writeBuffered();
         updateReading();
     }
 
     /** Stops sending to the backend. */
-    void detach(Channel from) {
-        if (backend == from && from != null) {
-            writeBufferShares.remove(from);
+    void detach(Channel channel) {
+        if (backend == channel && channel != null) {
+            writeBufferShares.remove(channel);
             backend = null;
             sentBytes = 0;
             updateReading();
@@ -132,7 +134,7 @@
         updateReading();
     }
 
-    /** Keeps the last part until {@link #complete}, as the backend starts the request once it receives it. */
+    /** Holds the last part back until {@link #complete}: a backend starts the request when it receives it. */
     void setLastPart(ByteBuf content) {
         lastPart = content;
     }
@@ -173,14 +175,14 @@
         if (discarded) {
             return;
         }
-        boolean room = backend == null || backend.isWritable();
-        if (room && paused) {
+        boolean writable = backend == null || backend.isWritable();
+        if (writable && paused) {
             pausedNs += System.nanoTime() - pausedAtNs;
-        } else if (!room && !paused) {
+        } else if (!writable && !paused) {
             pausedAtNs = System.nanoTime();
         }
-        paused = !room;
-        client.config().setAutoRead(room);
+        paused = !writable;
+        client.config().setAutoRead(writable);
     }
 
     /** Returns the duration of the current pause; 0 while the client is read. */
@@ -193,6 +195,7 @@
         return TimeUnit.NANOSECONDS.toMillis(pausedNs) + currentPauseMs();
     }
 
+    /** Writes the buffered bytes that the current backend has not been sent yet. */
     private void writeBuffered() {
         if (backend == null || buffered == null) {
             return;
--- a/src/main/java/larkworks/proxy/WriteBufferShares.java
+++ b/src/main/java/larkworks/proxy/WriteBufferShares.java
@@ -12,6 +12,7 @@
  */
 final class WriteBufferShares {
 
+    /** Limit for all write buffers together, unless the minimum share makes them exceed it. */
     private static final int TOTAL_BYTES = 4 << 20;
     private static final int MAX_SHARE_BYTES = 64 << 10;
     private static final int MIN_SHARE_BYTES = 4 << 10;
@@ -32,6 +33,7 @@
         updateShares();
     }
 
+    /** Halves the maximum share until all shares together fit the total or the minimum is reached. */
     private void updateShares() {
         int newShareBytes = MAX_SHARE_BYTES;
         while (newShareBytes > MIN_SHARE_BYTES && (long) newShareBytes * channels.size() > TOTAL_BYTES) {
