--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -68,15 +68,15 @@
     /** Minimum time granted between a request head and the first bytes of its body. */
     private static final long BODY_GRACE_MS = 500;
     /**
-     * Memory limit for the buffered bodies of all requests: small bodies, and the beginnings of bodies that
-     * may still turn out to be large.
+     * Memory limit for all connections together: buffered small bodies, beginnings of bodies that may still
+     * turn out to be large, and pipelined messages.
      */
     private static final int MAX_BUFFERED_BYTES = 8 << 20;
     /** A transfer without progress for this long is cut off. */
     private static final long STALL_TIMEOUT_MS = LingeringClose.STALL_TIMEOUT_MS;
     /**
-     * An unproven connection can be evicted only after this time without bytes, as a valid request head may
-     * arrive in several pieces.
+     * An unproven connection, one without a valid request so far, is evicted before idle ones only after this
+     * time without bytes, as a valid request head may arrive in several pieces.
      */
     private static final long MIN_SILENCE_MS = 300;
     /**
@@ -103,7 +103,9 @@
     private final Driver driver;
     private final PollTimes polls;
     private final Settings settings;
+    /** Numbers of the request classes, by name. */
     private final Map<String, Integer> classes = new HashMap<>();
+    /** Numbers of the tenants, by name. */
     private final Map<String, Integer> tenants = new HashMap<>();
     /** Proven connections without a complete request in progress, the longest silent first. */
     private final Set<Connection> idleConnections = new LinkedHashSet<>();
@@ -115,6 +117,7 @@
     private TcpListener listener;
     private Consumer<SystemError> onAcceptFailure = error -> { };
     private int openConnections;
+    /** Size of the buffered bodies and pipelined messages of all connections. */
     private int bufferedBytes;
     /** Whether a connection is being read outside the event loop's own read of it. */
     private boolean readingNow;
@@ -228,7 +231,7 @@
         });
     }
 
-    /** Returns the size of the buffered bodies of all requests. */
+    /** Returns the size of the buffered bodies and pipelined messages of all connections. */
     int bufferedBytes() {
         return bufferedBytes;
     }
@@ -382,7 +385,7 @@
         /** The body once it has proved to be large; else null. */
         private Upload upload;
         private long receivedBodyBytes;
-        /** This connection's part of {@link #bufferedBytes}. */
+        /** The current body's part of {@link #bufferedBytes}. */
         private int reservedBytes;
         /** Start of the time over which the body's rate is measured; lies in the future at first. */
         private long bodyRateStartMs;
@@ -437,7 +440,7 @@
             return !closing && !receivedSinceRequest && head == null && channel.isActive();
         }
 
-        /** Returns whether the connection has been silent for long enough to be evicted. */
+        /** Returns whether the connection has been silent for {@link #MIN_SILENCE_MS}. */
         private boolean isSilent() {
             return nowMs() - lastReceivedMs > MIN_SILENCE_MS;
         }
--- a/src/main/java/larkworks/proxy/PendingRequests.java
+++ b/src/main/java/larkworks/proxy/PendingRequests.java
@@ -58,7 +58,7 @@
         return byId.values().stream().filter(request -> request.isPastDeadline(now)).toList();
     }
 
-    /** Logs each pending request at debug level. */
+    /** Logs each pending request at debug level, with the reason for logging them. */
     void logAll(String why) {
         if (!LOG.isDebugEnabled()) {
             return;
