--- a/src/main/java/larkworks/proxy/AdminServer.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -93,7 +93,7 @@
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
         loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        if (connections.size() > MAX_CONNECTIONS && !lingeringClose.evict()) {
+        if (connections.size() > MAX_CONNECTIONS && !lingeringClose.evictLongest()) {
             connections.iterator().next().close();
         }
     }
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -271,7 +271,7 @@
                         @Override
                         protected void initChannel(SocketChannel newChannel) {
                             newChannel.pipeline().addLast(
-                                    new ByteWatch(() -> answerBytesReceived(newChannel)),
+                                    new ReadNotifier(() -> answerBytesReceived(newChannel)),
                                     new HttpRequestEncoder(), new ResponseDecoder(), new AnswerReader());
                         }
                     });
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -114,7 +114,7 @@
             driver.invariants().onViolation(meters::violated);
             frontend.onAcceptFailure(meters::acceptFailed);
         }
-        sockets.evictors(frontend::evictLingering, frontend::evictStranger, pool::evict, frontend::evict);
+        sockets.evictors(frontend::evictLingering, frontend::evictUnproven, pool::evict, frontend::evictIdle);
     }
 
     /**
@@ -197,7 +197,7 @@
             }
         }).sync();
         if (hasAdminAddress) {
-            AdminServer adminServer = new AdminServer(loop, frontend::serves, maintenance, jsonTables(),
+            AdminServer adminServer = new AdminServer(loop, frontend::isReady, maintenance, jsonTables(),
                     meters);
             adminListener = listenWithRetries(() -> adminServer.listen(config.adminAddress()),
                     config.adminAddress());
@@ -278,7 +278,7 @@
      * configuration may be old; after {@code deadlineNs} it suffices all the same.
      */
     private void serveOnceListReceived(long deadlineNs) {
-        if (frontend.drains()) {
+        if (frontend.isDraining()) {
             // SIGTERM arrived during the start; another process serves at the address or soon will.
             return;
         }
@@ -303,7 +303,7 @@
     }
 
     private void becomeReady() {
-        frontend.ready();
+        frontend.setWarmedUp();
         if (rolloutClient != null) {
             rolloutClient.start();
         }
@@ -338,8 +338,8 @@
 
     /** Returns the requests and resources of clients now; to be called on the loop. */
     ClientUsage clientUsage() {
-        return new ClientUsage(!driver.isIdle(), driver.overdue().size(), frontend.heldBytes(),
-                frontend.connections(), driver.invariants().count());
+        return new ClientUsage(!driver.isIdle(), driver.overdue().size(), frontend.bufferedBytes(),
+                frontend.openConnections(), driver.invariants().count());
     }
 
     /** Returns the proxy's only event loop, so that tests can run several steps in one iteration. */
@@ -371,7 +371,7 @@
         // Read here and not on the loop, which may be busy and run the task late.
         long signalUs = driver.clock().nowUs();
         loop.execute(() -> {
-            if (!frontend.listens() && fleetMember == null) {
+            if (!frontend.isListening() && fleetMember == null) {
                 // No requests were accepted, and there are no members to notify.
                 shutdownComplete.countDown();
                 return;
@@ -410,14 +410,14 @@
      * while the proxy drains, or once the time for large bodies is over.
      */
     private void completeWhenIdle() {
-        frontend.closeUnused();
+        frontend.closeUnusedConnections();
         boolean timedOut = driver.clock().nowUs() > driver.lastDueUs() + LARGE_BODY_TIMEOUT_MS * 1000;
         if (timedOut) {
             LOG.warn("stopped with requests that have not ended");
             driver.logPending("the process ends");
         }
         if (timedOut || driver.isIdle() && frontend.isEmpty()) {
-            driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.heldBytes() == 0,
+            driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.bufferedBytes() == 0,
                     Invariants.Rule.NOTHING_LEFT, "", () -> clientUsage().toString());
             shutdownComplete.countDown();
         } else {
--- a/src/main/java/larkworks/proxy/PendingRequest.java
+++ b/src/main/java/larkworks/proxy/PendingRequest.java
@@ -6,83 +6,85 @@
 import larkworks.proxy.Meters.Result;
 
 /**
- * A request from its arrival until it ends: its answer has been given and written to the client's connection,
- * or the client has gone, and its last attempt has ended. {@link PendingRequests} is where it ends. For the
- * proxy's loop only; times are in microseconds by the driver's clock.
+ * A request from its dispatch to the driver until it has ended: its answer was written to the client's
+ * connection or the client has gone, and its last attempt has ended. {@link PendingRequests} removes it then.
+ * To be used on the proxy's event loop only. Times are in microseconds by the driver's clock.
  */
 final class PendingRequest {
 
+    /** The id under which the decision module knows the request, assigned by the driver. */
     final String id;
     final Driver.Inbound inbound;
     final Driver.Client client;
-    /** The module that decides on it, to its end. */
+    /** The decision module that handles this request until it ends. */
     final Driver.Deciding module;
     final List<UpstreamAttempt> attempts = new ArrayList<>(2);
-    /** When it was handed over, which may be some time after it came. */
-    final long readUs;
-    /** By then its client must have its answer; changes once the last byte of an upload has come. */
+    /** When the driver got the request, which may be some time after it arrived. */
+    final long dispatchedUs;
+    /** Time by which the client must have its answer; set anew once an upload's last byte has arrived. */
     long deadlineUs;
-    /** When the last byte came of a body that was an upload; the greatest value until then. */
-    long uploadedUs;
-    /** The attempt whose answer is being handed on, or null. */
-    UpstreamAttempt answering;
-    /** Attempts that have not ended. */
-    int attemptsOut;
-    /** Answers it as failed shortly before its deadline; null where none is armed. */
-    Future<?> guard;
-    /** How it was answered; null until then. */
+    /** When an upload's last byte arrived, {@link Long#MAX_VALUE} until then; 0 if there is no upload. */
+    long uploadCompletedUs;
+    /** The attempt whose answer is being passed on to the client, or null. */
+    UpstreamAttempt answeringAttempt;
+    /** Number of attempts that have not ended. */
+    int openAttempts;
+    /** Timer that answers the request as failed shortly before its deadline; null if not started. */
+    Future<?> failureTimer;
+    /** How the request was answered; null until then. */
     private Result result;
     private long answeredUs;
+    /** Whether the answer was written, can't be written, or is not wanted any more. */
     private boolean delivered;
 
-    PendingRequest(String id, Driver.Inbound inbound, Driver.Client client, long readUs, long deadlineUs,
-            Driver.Deciding module) {
-        this.readUs = readUs;
+    PendingRequest(String id, Driver.Inbound inbound, Driver.Client client, long dispatchedUs,
+            long deadlineUs, Driver.Deciding module) {
+        this.dispatchedUs = dispatchedUs;
         this.id = id;
         this.inbound = inbound;
         this.client = client;
         this.deadlineUs = deadlineUs;
         this.module = module;
-        this.uploadedUs = inbound.upload() == null ? 0 : Long.MAX_VALUE;
+        this.uploadCompletedUs = inbound.upload() == null ? 0 : Long.MAX_VALUE;
     }
 
-    /** Whether its body is a large one of which the last byte has not come. */
-    boolean uploading() {
-        return uploadedUs == Long.MAX_VALUE;
+    /** Returns whether the body is an upload whose last byte has not arrived. */
+    boolean isUploading() {
+        return uploadCompletedUs == Long.MAX_VALUE;
     }
 
-    /** Whether its answer has been given, or its client has gone: nothing more is owed but the writing. */
-    boolean answered() {
+    /** Returns whether the request has been answered, even if not written yet, or its client has gone. */
+    boolean isAnswered() {
         return result != null;
     }
 
-    /** Its answer is given; a client that has gone is owed none, so nothing is left to be written. */
-    void answer(Result how, long nowUs) {
+    /** Records the answer; with {@link Result#GONE} there is none to be written. */
+    void recordAnswer(Result newResult, long nowUs) {
         if (result != null) {
-            throw new IllegalStateException("request " + id + " is answered twice");
+            throw new IllegalStateException("request " + id + " answered twice");
         }
-        result = how;
+        result = newResult;
         answeredUs = nowUs;
-        delivered = how == Result.GONE;
+        delivered = newResult == Result.GONE;
     }
 
-    /** The answer's last byte was written to the client's connection, or never will be. */
-    void deliver() {
+    /** Records that the answer's last byte was written to the client's connection or can't be written. */
+    void markDelivered() {
         delivered = true;
     }
 
-    /** Whether nothing of it is left: no answer owed or being written, no attempt out. */
-    boolean ended() {
-        return delivered && attemptsOut == 0;
+    /** Returns whether the request has ended: its answer is delivered and all attempts have ended. */
+    boolean hasEnded() {
+        return delivered && openAttempts == 0;
     }
 
-    /** Whether its client still waits for an answer at this time though its deadline has passed. */
-    boolean overdue(long nowUs) {
-        return result == null && !uploading() && nowUs > deadlineUs;
+    /** Returns whether the client still waits for an answer although the deadline has passed. */
+    boolean isPastDeadline(long nowUs) {
+        return result == null && !isUploading() && nowUs > deadlineUs;
     }
 
-    /** Its state in words, for the log: what it waits for, and when each step happened, from its arrival. */
-    String state(long nowUs) {
+    /** Describes the request for the log: its age, time left, attempts and answer, timed from its arrival. */
+    String describe(long nowUs) {
         StringBuilder text = new StringBuilder("age=").append(sinceArrivalMs(nowUs)).append("ms left=")
                 .append((deadlineUs - nowUs) / 1000).append("ms");
         for (UpstreamAttempt attempt : attempts) {
--- a/src/main/java/larkworks/proxy/RequestDecoder.java
+++ b/src/main/java/larkworks/proxy/RequestDecoder.java
@@ -8,33 +8,35 @@
 import io.netty.util.AsciiString;
 
 /**
- * Reads requests to the letter. Whatever two readers could take for different requests is marked as failed
- * to decode: a length beside a transfer coding, a coding other than chunked, a field name not ended by its
- * colon.
+ * Decodes requests strictly. Decoding fails for messages that two implementations could read as different
+ * requests (request smuggling): Content-Length beside Transfer-Encoding, or a field name that is not directly
+ * followed by its colon. Callers reject other transfer codings than chunked, see
+ * {@link #hasUnsupportedTransferCoding}.
  */
 final class RequestDecoder extends HttpRequestDecoder {
 
-    /** Bytes of a body that are handed on at a time at most. */
-    private static final int PART = 32 << 10;
+    /** Maximum size of a body part that is passed on as one message. */
+    private static final int MAX_PART_BYTES = 32 << 10;
 
     RequestDecoder() {
-        super(new HttpDecoderConfig().setMaxChunkSize(PART));
+        super(new HttpDecoderConfig().setMaxChunkSize(MAX_PART_BYTES));
     }
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both a length and a transfer coding");
+        throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
-        Framing.requireColon(line, start, length);
+        HttpFraming.requireColon(line, start, length);
         return super.splitHeaderName(line, start, length);
     }
 
-    /** Whether a request names a transfer coding that is not plainly chunked, or that its version lacks. */
-    static boolean codedOddly(HttpMessage request) {
-        return Framing.codedOddly(request) || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
+    /** Returns whether the transfer coding is not chunked, or not defined for the request's HTTP version. */
+    static boolean hasUnsupportedTransferCoding(HttpMessage request) {
+        return HttpFraming.hasUnsupportedTransferCoding(request)
+                || request.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)
                 && !request.protocolVersion().equals(HttpVersion.HTTP_1_1);
     }
 }
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -15,18 +15,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The body of a request on its way from a client to a backend, too large to be held whole. What came before a
- * backend takes it is kept, and can go to another one until more than a small part was written; what comes
- * then is written as it comes. While it waits for a backend the client is read on, within the common bound of
- * held bodies, as only reading shows that it has gone; else only while there is room.
+ * A request body that is too large to be buffered whole, passed from a client to a backend as it arrives. The
+ * bytes received before a backend is attached are buffered, and can be sent again to another backend until
+ * more than {@link BackendPool#MOST_BODY} bytes were written to one; later bytes are written as they arrive.
+ * While no backend is attached the client is still read, within the common limit of buffered bodies, as only
+ * reading shows that it has gone. Otherwise the client is read only while the backend's channel is writable.
  */
 final class Upload {
 
-    /** A request for a backend whose body follows from an upload. */
-    static final class Head extends DefaultHttpRequest {
+    /** The head of a request to a backend whose body is an upload. */
+    static final class RequestHead extends DefaultHttpRequest {
         private final Upload body;
 
-        Head(HttpVersion version, HttpMethod method, String uri, Upload body) {
+        RequestHead(HttpVersion version, HttpMethod method, String uri, Upload body) {
             super(version, method, uri);
             this.body = body;
         }
@@ -37,47 +38,53 @@
     }
 
     private final Channel client;
-    private final Flow flow;
-    /** Told to the backend; negative where the client tells none. */
+    private final WriteBufferShares writeBufferShares;
+    /** The body's length as given by the client; negative for a chunked body. */
     private final long length;
-    /** All that has come, or null once it is more than can be held. */
-    private ByteBuf held;
-    /** The part of it that was written to the backend. */
-    private int sent;
-    /** The latest write of what is held, or null. */
-    private ChannelFuture last;
+    /** All bytes received so far; null once too many were written for the body to be sent again. */
+    private ByteBuf buffered;
+    /** Number of buffered bytes that were written to the current backend. */
+    private int sentBytes;
+    /** The latest write of buffered bytes, or null. */
+    private ChannelFuture lastBufferedWrite;
     private Channel backend;
-    private ChannelFutureListener written;
-    /** The last part, until it is known that the client has not left with it; else null. */
-    private ByteBuf tail;
+    /** Notified when the last byte was written to the current backend or a write has failed. */
+    private ChannelFutureListener onWritten;
+    /** The last part, until it is known that the client didn't close its connection behind it; else null. */
+    private ByteBuf lastPart;
+    /** Whether the client has sent the whole body. */
     private boolean complete;
     private boolean discarded;
-    /** Whether the client is not read, since when, and for how long it was not before. */
+    /** Whether reading from the client is paused. */
     private boolean paused;
-    private long pausedAt;
-    private long pausedNanos;
+    /** When the current pause began. */
+    private long pausedAtNs;
+    /** Duration of all earlier pauses. */
+    private long pausedNs;
     private final Runnable onReleased;
-    private Runnable onSpent = () -> { };
+    private Runnable onNotRepeatable = () -> { };
 
     /**
-     * Takes over what came so far.
+     * Takes ownership of the bytes received so far.
      *
-     * @param onReleased told when nothing of it is held any more
+     * @param onReleased run when the memory of the buffered bytes has been released
      */
-    Upload(Channel client, Flow flow, long length, ByteBuf held, Runnable onReleased) {
+    Upload(Channel client, WriteBufferShares writeBufferShares, long length, ByteBuf buffered,
+            Runnable onReleased) {
         this.client = client;
-        this.flow = flow;
+        this.writeBufferShares = writeBufferShares;
         this.length = length;
-        this.held = held;
+        this.buffered = buffered;
         this.onReleased = onReleased;
     }
 
-    void onSpent(Runnable action) {
-        onSpent = action;
+    /** Sets the action to run once the body can't be sent to another backend any more. */
+    void onNotRepeatable(Runnable action) {
+        onNotRepeatable = action;
     }
 
-    /** How its length is told to a backend. */
-    void describe(HttpHeaders headers) {
+    /** Sets the header that gives the backend the body's length or its transfer coding. */
+    void setLengthHeader(HttpHeaders headers) {
         if (length >= 0) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else {
@@ -86,144 +93,149 @@
     }
 
     /**
-     * Begins to send to a backend, which the head was just written to; tells when the last byte has left, or
-     * that one can't.
+     * Starts to send the body to a backend, to which the request head has just been written.
+     *
+     * @param writeListener notified when the last byte was written or a write has failed
      */
-    void attach(Channel to, ChannelFutureListener lastWritten) {
-        backend = to;
-        written = lastWritten;
-        flow.begin(to);
-        pump();
-        regulate();
-    }
-
-    /** The backend gets nothing more. */
-    void detach(Channel from) {
-        if (backend == from && from != null) {
-            flow.end(from);
+    void attach(Channel channel, ChannelFutureListener writeListener) {
+        backend = channel;
+        onWritten = writeListener;
+        writeBufferShares.add(channel);
+        writeBuffered();
+        updateReading();
+    }
+
+    /** Stops sending to the backend. */
+    void detach(Channel channel) {
+        if (backend == channel && channel != null) {
+            writeBufferShares.remove(channel);
             backend = null;
-            sent = 0;
-            regulate();
+            sentBytes = 0;
+            updateReading();
         }
     }
 
-    /** Whether no backend takes it now, so that what comes has to be held. */
-    boolean waits() {
-        return backend == null && held != null && !discarded;
+    /** Returns whether no backend is attached, so that received bytes are buffered. */
+    boolean isWaitingForBackend() {
+        return backend == null && buffered != null && !discarded;
     }
 
-    /** Takes the next part from the client. */
-    void part(ByteBuf content) {
-        if (discarded || held == null && backend == null) {
+    /** Takes ownership of the next part of the body. */
+    void addPart(ByteBuf content) {
+        if (discarded || buffered == null && backend == null) {
             content.release();
-        } else if (held != null) {
-            held.writeBytes(content);
+        } else if (buffered != null) {
+            buffered.writeBytes(content);
             content.release();
-            pump();
+            writeBuffered();
         } else {
             write(content);
         }
-        regulate();
+        updateReading();
     }
 
-    /** Takes the last part, with which the request would begin at its backend: it is held until completed. */
-    void lastPart(ByteBuf content) {
-        tail = content;
+    /** Holds the last part back until {@link #complete}: a backend starts the request when it receives it. */
+    void setLastPart(ByteBuf content) {
+        lastPart = content;
     }
 
-    /** The client has sent all, and has not left with it. */
+    /** Sends the last part: the client has sent the whole body and is still connected. */
     void complete() {
-        part(tail);
-        tail = null;
+        addPart(lastPart);
+        lastPart = null;
         complete = true;
         if (backend != null) {
-            finish();
+            writeEnd();
         }
     }
 
-    /** What was written goes out; to be called when nothing more is there to be read from the client. */
+    /** Flushes the writes to the backend; to be called after each batch of reads from the client. */
     void flush() {
         if (backend != null) {
             backend.flush();
         }
     }
 
-    /** Nobody wants the rest; it is still read, as the client may listen only after it has sent all. */
+    /**
+     * Drops the rest of the body. The client is still read, as it may read the answer only after it has sent
+     * the whole body.
+     */
     void discard() {
         discarded = true;
-        if (tail != null) {
-            tail.release();
-            tail = null;
+        if (lastPart != null) {
+            lastPart.release();
+            lastPart = null;
         }
-        release();
+        releaseBuffered();
         client.config().setAutoRead(true);
     }
 
-    /** Reads from the client only what there is room for. */
-    void regulate() {
+    /** Pauses reading from the client while the backend's channel is not writable. */
+    void updateReading() {
         if (discarded) {
             return;
         }
-        boolean room = backend == null || backend.isWritable();
-        if (room && paused) {
-            pausedNanos += System.nanoTime() - pausedAt;
-        } else if (!room && !paused) {
-            pausedAt = System.nanoTime();
+        boolean writable = backend == null || backend.isWritable();
+        if (writable && paused) {
+            pausedNs += System.nanoTime() - pausedAtNs;
+        } else if (!writable && !paused) {
+            pausedAtNs = System.nanoTime();
         }
-        paused = !room;
-        client.config().setAutoRead(room);
+        paused = !writable;
+        client.config().setAutoRead(writable);
     }
 
-    /** How long the client has been kept waiting by now; 0 while it is read. */
-    long pauseMs() {
-        return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAt);
+    /** Returns the duration of the current pause; 0 while the client is read. */
+    long currentPauseMs() {
+        return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAtNs);
     }
 
-    /** How long the client was kept waiting altogether. */
-    long pausedMs() {
-        return TimeUnit.NANOSECONDS.toMillis(pausedNanos) + pauseMs();
+    /** Returns the duration of all pauses, including the current one. */
+    long totalPauseMs() {
+        return TimeUnit.NANOSECONDS.toMillis(pausedNs) + currentPauseMs();
     }
 
-    private void pump() {
-        if (backend == null || held == null) {
+    /** Writes the buffered bytes that the current backend has not been sent yet. */
+    private void writeBuffered() {
+        if (backend == null || buffered == null) {
             return;
         }
-        if (sent < held.writerIndex()) {
-            last = write(held.retainedSlice(sent, held.writerIndex() - sent));
-            sent = held.writerIndex();
+        if (sentBytes < buffered.writerIndex()) {
+            lastBufferedWrite = write(buffered.retainedSlice(sentBytes, buffered.writerIndex() - sentBytes));
+            sentBytes = buffered.writerIndex();
         }
         if (complete) {
-            finish();
-        } else if (sent > BackendPool.MOST_BODY) {
-            release();
-            onSpent.run();
+            writeEnd();
+        } else if (sentBytes > BackendPool.MOST_BODY) {
+            releaseBuffered();
+            onNotRepeatable.run();
         }
         flush();
     }
 
-    /** A part that can't be written is told like the end: no more will come, and this before the closing. */
+    /** Writes a part. A failed write notifies {@link #onWritten}, before the channel's close is seen. */
     private ChannelFuture write(ByteBuf part) {
-        ChannelFutureListener own = written;
+        ChannelFutureListener listener = onWritten;
         return backend.write(new DefaultHttpContent(part)).addListener((ChannelFuture done) -> {
             if (!done.isSuccess()) {
-                own.operationComplete(done);
+                listener.operationComplete(done);
             }
         });
     }
 
-    private void finish() {
-        backend.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(written);
+    private void writeEnd() {
+        backend.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(onWritten);
     }
 
-    private void release() {
-        if (held != null) {
-            held.release();
-            held = null;
-            if (last == null) {
+    private void releaseBuffered() {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
+            if (lastBufferedWrite == null) {
                 onReleased.run();
             } else {
-                // Until it has been written the backend's buffer holds it.
-                last.addListener(written -> onReleased.run());
+                // The backend channel's write buffer holds the bytes until they are written.
+                lastBufferedWrite.addListener(done -> onReleased.run());
             }
         }
     }
