--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operators' address. */
+/** Tests of the operators' HTTP endpoints at {@code admin_addr}. */
 @Timeout(120)
 class AdminTest {
 
@@ -51,7 +51,7 @@
         bench.close();
     }
 
-    /** Starts the proxy and lets discovery tell it all backends. */
+    /** Starts the proxy with a discovery that lists all backends. */
     private void start() throws Exception {
         bench.list(bench.all(7));
         bench.start(folder, bench.all(7));
@@ -88,7 +88,7 @@
         bench.start(folder);
         assertEquals(200, call("GET", "/ops/readiness", ""));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
-        assertTrue(tookMs < 5_500, "the platform waits for 6 s, this took " + tookMs);
+        assertTrue(tookMs < 5_500, "must be ready before the platform's 6 s, but took ms: " + tookMs);
     }
 
     @Test
@@ -98,7 +98,7 @@
         Path file = Files.writeString(folder.resolve("config.json"), bench.config(port, bench.all(7)));
         Main main = new Main(Config.read(file.toString(), bench.environment, Map.of()));
         main.start();
-        // Behind the warm-up's beginning in the loop's queue, and before its end, which takes some turns.
+        // Queued in the event loop after the start of the warm-up and before its end, some iterations later.
         CompletableFuture<Void> ended = CompletableFuture.runAsync(main::drainAndWait);
         int found = 0;
         while (!ended.isDone()) {
@@ -127,10 +127,10 @@
             assertEquals(1, bench.served());
         }
         assertEquals(200, backend("up", "b0"));
-        assertEquals(200, backend("up", "b0"), "it may be said again");
+        assertEquals(200, backend("up", "b0"), "the command may be repeated");
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
         while (bench.served() != 0) {
-            assertTrue(System.nanoTime() < until, "unused for 5 s");
+            assertTrue(System.nanoTime() < until, "b0 received no request for 5 s");
         }
     }
 
@@ -152,7 +152,7 @@
         start();
         assertEquals(200, backend("down", "b0"));
         bench.stop();
-        // As in service: another process, with a second address of its own.
+        // In production the next process has an admin address of its own, too.
         newAddress();
         start();
         for (int i = 0; i < 4; i++) {
@@ -181,14 +181,14 @@
         start();
         int status = call(method, path, body);
         assertTrue(status >= 400 && status < 500, "status " + status);
-        assertTrue(bench.served() + bench.served() == 1, "both backends take turns");
+        assertTrue(bench.served() + bench.served() == 1, "requests must alternate between both backends");
     }
 
     @Test
     void saysNoToAnOversizedBody() throws Exception {
         start();
         assertEquals(413, backend("down", "b0" + " ".repeat(100_000)));
-        assertTrue(bench.served() + bench.served() == 1, "both backends take turns");
+        assertTrue(bench.served() + bench.served() == 1, "requests must alternate between both backends");
     }
 
     @Test
@@ -211,9 +211,10 @@
             long from = System.nanoTime();
             for (Socket caller : crowd) {
                 caller.setSoTimeout(10_000);
-                assertNull(readOrReset(caller), "closed, not answered");
+                assertNull(readOrReset(caller), "the connection must be closed without a response");
             }
-            assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(3), "all are closed within 3 s");
+            assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(3),
+                    "all connections must be closed within 3 s");
         } finally {
             for (Socket caller : crowd) {
                 caller.close();
@@ -221,7 +222,7 @@
         }
     }
 
-    /** Null once the connection has ended, in whatever way. */
+    /** Reads a response; returns null where the connection was closed or reset instead. */
     private static Peer.Message readOrReset(Socket socket) throws IOException {
         try {
             return Peer.Message.read(new BufferedInputStream(socket.getInputStream()), socket,
@@ -237,16 +238,16 @@
         bench.more = "\"admin_addr\":\"" + Bench.HOST + ":" + admin + "\",";
         start();
         assertEquals(200, call("GET", "/ops/readiness", ""));
-        assertEquals(200, backend("down", "b0"), "without TMPDIR the call holds for this process");
+        assertEquals(200, backend("down", "b0"), "without TMPDIR the command is kept in memory");
         assertEquals(1, bench.served());
     }
 
     @Test
     void startsThoughItsFolderCantBeHadAtFirstAndKeepsCallsOnceItCan() throws Exception {
-        Path state = Files.writeString(folder.resolve("state"), "a file where the folder should be");
+        Path state = Files.writeString(folder.resolve("state"), "a file at the path of the state folder");
         bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR", state.toString());
         start();
-        assertEquals(500, backend("down", "b0"), "the call would not outlive this process");
+        assertEquals(500, backend("down", "b0"), "the command could not be stored");
         Files.delete(state);
         long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
         while (backend("down", "b0") != 200 && System.nanoTime() < until) {
--- a/src/test/java/larkworks/proxy/ConfigFileTest.java
+++ b/src/test/java/larkworks/proxy/ConfigFileTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.slf4j.event.Level;
 
-/** A proxy's configuration in TOML: what it takes, and that everything wrong with it is told. */
+/** Tests that a proxy's TOML configuration is read, and that all errors in it are reported at once. */
 class ConfigFileTest {
 
     private static final String GOOD = """
@@ -74,7 +74,8 @@
         Config config = read(GOOD, Map.of("GW_ADMIN_ADDR", "127.0.0.1:7", "GW_LISTEN", "127.0.0.1:8"),
                 Map.of("discovery", "127.0.0.1:9"));
         assertEquals(7, config.adminAddress().getPort());
-        assertEquals(9000, config.listen().getPort(), "GW_LISTEN fills in only what is left out");
+        assertEquals(9000, config.listen().getPort(),
+                "GW_LISTEN applies only where the file has no listen address");
         assertEquals(List.of(9), config.discovery().stream().map(a -> a.getPort()).toList());
         assertEquals(250_000, config.fleet().settings().probeIntervalUs());
         assertEquals(100_000, config.fleet().settings().probeTimeoutUs(), "derived from the interval");
--- a/src/test/java/larkworks/proxy/ConfigTest.java
+++ b/src/test/java/larkworks/proxy/ConfigTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Addresses as the configuration and discovery give them. */
+/** Tests how addresses in the configuration and in discovery's lists are parsed. */
 class ConfigTest {
 
     @ParameterizedTest
@@ -17,7 +17,7 @@
         assertEquals(port, Config.address(text).getPort());
     }
 
-    /** Short forms of an address pass elsewhere, and what is no address at all is taken for a name. */
+    /** Many parsers accept short forms of IP addresses, and take any other text for a host name. */
     @ParameterizedTest
     @ValueSource(strings = {"1.2.3:9000", "2130706433:9000", "1.2.3.4.:9000", "[1.2.3.4]:9000",
         "localhost:9000", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":9000", "null"})
--- a/src/test/java/larkworks/proxy/DiscoveryStandIn.java
+++ b/src/test/java/larkworks/proxy/DiscoveryStandIn.java
@@ -10,24 +10,24 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A discovery for experiments with real processes: it answers all calls in one way, also badly. */
+/** A discovery service for experiments with real processes, which answers in one way, slow or failing too. */
 final class DiscoveryStandIn implements AutoCloseable {
 
-    /** How calls for the whole list are answered; watches are always held open, and then tell nothing. */
+    /** How calls for the full list are answered; watches are held open and answered without changes. */
     enum Way {
-        /** At once. */
+        /** Answers immediately. */
         AT_ONCE,
-        /** Each after {@link #SLOW_MS}, whatever else is asked. */
+        /** Answers each call after {@link #SLOW_MS}, all calls in parallel. */
         SLOW,
-        /** One after the other, each taking {@link #TURN_MS}. */
+        /** Answers calls one by one, and takes {@link #TURN_MS} for each. */
         IN_TURN,
-        /** With 503. */
+        /** Answers with status 503. */
         BUSY,
-        /** A byte at a time, {@link #DRIP_MS} between two. */
+        /** Sends one byte at a time, with {@link #DRIP_MS} after each. */
         DRIPPING,
-        /** Never. */
+        /** Accepts calls and never answers. */
         HANGING,
-        /** Not at all: nobody listens. */
+        /** Has closed its port, so that connections are refused. */
         DOWN
     }
 
@@ -35,7 +35,7 @@
     private static final long TURN_MS = 200;
     private static final long DRIP_MS = 400;
 
-    /** Calls for the whole list that have come. */
+    /** The number of calls for the full list so far. */
     final AtomicInteger calls = new AtomicInteger();
     private final Way way;
     private final byte[] list;
@@ -53,7 +53,7 @@
         server = HttpServer.create(new InetSocketAddress(Bench.HOST, 0), 1_024);
         server.setExecutor(threads);
         server.createContext("/", this::answer);
-        // A server that never started would leave its port open, and hang.
+        // HttpServer.stop() closes the port only of a server that was started; connections would hang.
         server.start();
         address = Bench.HOST + ":" + server.getAddress().getPort();
         if (way == Way.DOWN) {
--- a/src/test/java/larkworks/proxy/DiscoveryTermsTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryTermsTest.java
@@ -16,21 +16,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What discovery has counts as told some time later, whatever became of the calls: it has to be heard. */
+/**
+ * Tests that the proxy applies changes at discovery in time: 6 s after a change it counts as delivered to
+ * the proxy, even if calls to discovery failed, hung or were reset in between.
+ */
 @Timeout(180)
 class DiscoveryTermsTest {
 
-    /** A change counts as told so long after discovery had it in reach, or after a watch fell silent. */
+    /**
+     * A change counts as delivered this long after a reachable discovery had it, or after the watch that
+     * should have reported it stopped receiving.
+     */
     private static final long TOLD_MS = 6_000;
-    /** A busy machine only adds to the times that are measured, so the best of so many tries counts. */
+    /** Maximum measurements; the best one counts, as a busy machine only makes a measured time longer. */
     private static final int TRIES = 3;
-    /** The largest number of backends that a deployment is tried with. */
+    /** The number of backends in the largest deployment that is tested. */
     private static final int MANY = 1_100;
 
     @TempDir
     Path folder;
 
-    /** Something that takes time. */
+    /** An action that returns its duration. */
     private interface Measured {
         long ms() throws Exception;
     }
@@ -40,21 +46,21 @@
         do {
             tookMs.add(what.ms());
         } while (tookMs.get(tookMs.size() - 1) >= boundMs && tookMs.size() < TRIES);
-        assertTrue(tookMs.get(tookMs.size() - 1) < boundMs, "took " + tookMs + " ms");
+        assertTrue(tookMs.get(tookMs.size() - 1) < boundMs, "every try took too long, in ms: " + tookMs);
     }
 
     private static long sinceMs(long nanos) {
         return (System.nanoTime() - nanos) / 1_000_000;
     }
 
-    /** The call that follows once a list was taken. */
+    /** Awaits the call that proves that the list with this index was accepted, and returns it. */
     private static Peer.Message afterTaking(Bench bench, int index) throws Exception {
         Peer.Message next = bench.discovery.next();
         assertTrue(next.line().contains("?index=" + index + "&"), next.line());
         return next;
     }
 
-    /** Ends a call without a list. */
+    /** Makes a call fail: resets or closes its connection, or answers it without a list. */
     private static void fail(Peer.Message call, String how) throws Exception {
         switch (how) {
             case "reset" -> call.reset();
@@ -74,7 +80,10 @@
         }
     }
 
-    /** Discovery fails for some calls and is back; the first call then gets no answer, the next one does. */
+    /**
+     * Discovery fails several calls and recovers. The first call after that gets no answer, the next one
+     * gets a list in which a backend drains.
+     */
     @ParameterizedTest
     @CsvSource({"pushed,503", "pushed,reset", "on_request,503", "on_request,end"})
     void hearsOfADrainInTimeThoughTheFirstCallAfterAnOutageHangs(String mode, String how) throws Exception {
@@ -101,7 +110,10 @@
         }
     }
 
-    /** Where calls wait in turn, a drain right after the start is told on the only call there is yet. */
+    /**
+     * Where discovery handles calls one by one, the proxy's first call may be the only one that can report
+     * a drain right after the start.
+     */
     @Test
     void watchesFromTheListInItsConfigurationWhereListsAreAskedFor() throws Exception {
         try (Bench bench = new Bench(2)) {
@@ -114,7 +126,7 @@
         }
     }
 
-    /** The version in the configuration may be one that discovery doesn't know any more. */
+    /** Discovery may no longer know the index of the list in the configuration, and then answers 404. */
     @Test
     void asksForTheWholeListWhereTheVersionInItsConfigurationIsRefused() throws Exception {
         try (Bench bench = new Bench(2)) {
@@ -129,7 +141,10 @@
         }
     }
 
-    /** Calls wait in turn at discovery, so that each answer takes long; one must be waited for. */
+    /**
+     * Discovery handles calls one by one, so that each answer takes long. The proxy must not abandon every
+     * call before its answer.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void waitsForAListFromADiscoveryThatIsSlow(String mode) throws Exception {
@@ -138,7 +153,7 @@
             bench.start(folder);
             bench.discovery.next().awaitEnd();
             Peer.Message call = bench.discovery.next();
-            // That the answer is so late is what the test is about: by 2 s the first call was given up.
+            // The first call timed out after 2 s; the second must still be open after 2.6 s.
             Thread.sleep(2_600);
             call.reply(200, drained(bench, 2));
             afterTaking(bench, 2);
@@ -147,8 +162,8 @@
     }
 
     /**
-     * Some watches are answered, a later one falls silent, and the call that opens it anew is refused. How
-     * long the program runs by then makes no difference to it.
+     * Some watches are answered, a later one hangs, and the call that reopens it is refused. The time limit
+     * is the same however long the proxy has been running.
      */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
@@ -177,7 +192,10 @@
         }
     }
 
-    /** A watch ends where it should tell of drains; the whole list that follows leaves them out. */
+    /**
+     * A watch ends instead of reporting that a backend drains, and the full list that follows no longer
+     * contains this backend.
+     */
     @ParameterizedTest
     @CsvSource({"pushed,reset", "pushed,end", "pushed,empty", "on_request,reset", "on_request,end",
         "on_request,empty"})
@@ -207,13 +225,14 @@
             bench.settle();
             Peer still = bench.backends.get(left);
             while (still.waiting() > 0) {
-                assertTrue(still.next().line().startsWith("GET /stats"), "a probe from before");
+                assertTrue(still.next().line().startsWith("GET /stats"),
+                        "only probes from before the new list may be pending");
             }
             int connections = still.connections();
             for (int i = 0; i < 10; i++) {
                 serveByOther(bench, 1 - left, "r" + i);
             }
-            assertEquals(0, still.waiting(), "neither requests nor probes");
+            assertEquals(0, still.waiting(), "the removed backend must receive neither requests nor probes");
             assertEquals(connections, still.connections());
             inFlight.reply(200, "finished");
             assertEquals("finished", client.answer().text());
@@ -231,7 +250,10 @@
         assertEquals(200, client.status());
     }
 
-    /** What is still connecting there goes elsewhere, long before the connect or the grace is over. */
+    /**
+     * An attempt that is still connecting to a removed backend moves to another one, long before the connect
+     * timeout or the drain grace ends.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"left out", "terminated"})
     void endsAConnectingAttemptToABackendThatIsGone(String how) throws Exception {
@@ -252,7 +274,7 @@
         }
     }
 
-    /** All watches are reset some time before backends begin to drain. */
+    /** A watch is reset before a backend begins to drain, so only the reopened watch can report the drain. */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void hearsOfADrainSoonAfterItsWatchWasReset(String mode) throws Exception {
@@ -268,7 +290,10 @@
         }
     }
 
-    /** A new configuration moves discovery, whose first answer never comes; drains follow at once. */
+    /**
+     * A new configuration names another discovery service. It never answers the first call there, and a
+     * backend drains right after its next answer.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void hearsOfDrainsRightAfterAReload(String mode) throws Exception {
@@ -313,7 +338,10 @@
         assertTrue(call.line().contains("?index=" + version + "&"), call.line());
     }
 
-    /** The service at the address that a reload names counts its versions anew, or refuses the one held. */
+    /**
+     * The discovery service that a reload names has lower indexes than the proxy's list, or answers 404 to
+     * its index.
+     */
     @ParameterizedTest
     @CsvSource({"pushed,lower", "pushed,404", "on_request,lower", "on_request,404"})
     void asksForTheWholeListWhereTheVersionHeldIsNoneOfTheNewAddress(String mode, String how)
@@ -354,7 +382,7 @@
         }
     }
 
-    /** Written over many lines, in pieces that break it anywhere. */
+    /** The lists span many lines and arrive in parts whose boundaries may lie within a JSON token. */
     @Test
     void takesAListThatIsIndented() throws Exception {
         try (Bench bench = new Bench(2)) {
@@ -377,7 +405,7 @@
         }
     }
 
-    /** As a whole list, and as changes that take nearly all of them away again. */
+    /** Sends many backends as a full list, and then as changes that drain nearly all of them. */
     @Test
     void takesAListOfManyBackends() throws Exception {
         try (Bench bench = new Bench(2)) {
@@ -389,7 +417,7 @@
         }
     }
 
-    /** The second backend, and under many names the first, of the given status. */
+    /** A list of the first backend under many names with the given status, and of the second in service. */
     private static String many(Bench bench, int index, boolean whole, String status) {
         String[] entries = new String[MANY + 1];
         for (int i = 0; i < MANY; i++) {
--- a/src/test/java/larkworks/proxy/DiscoveryWaitsTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryWaitsTest.java
@@ -6,7 +6,7 @@
 import larkworks.proxy.DiscoveryWaits.Purpose;
 import org.junit.jupiter.api.Test;
 
-/** A silence is noticed in time at first, and a slow discovery is given more time at each further one. */
+/** Tests that the first timeout of a call is short, and that repeated timeouts extend the next ones. */
 class DiscoveryWaitsTest {
 
     private static final long TOLD_MS = 6_000;
@@ -31,7 +31,8 @@
         }
         long patient = waits.firstByteTimeoutMs(Purpose.WATCH, false);
         waits.callAnswered(patient);
-        assertEquals(patient, waits.firstByteTimeoutMs(Purpose.WATCH, false), "an answer took as long");
+        assertEquals(patient, waits.firstByteTimeoutMs(Purpose.WATCH, false),
+                "an answer as slow as the timeout must not shorten it");
         for (int i = 0; i < 10; i++) {
             waits.callAnswered(1);
         }
--- a/src/test/java/larkworks/proxy/FailOverTest.java
+++ b/src/test/java/larkworks/proxy/FailOverTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy whose discovery is several services, perhaps replicas of one (issue 21). */
+/** Tests failover of a proxy between several discovery services, also replicas of one (issue 21). */
 @Timeout(60)
 class FailOverTest {
 
@@ -50,7 +50,7 @@
             bench.discovery.next().reply(503, "{}");
             Peer.Message call = second.next();
             assertWatches(7, call);
-            call.reset();  // no word on the version
+            call.reset();  // a reset does not say whether the index is known
             call = bench.discovery.next();
             assertWatches(7, call);
             call.reply(503, "{}");
@@ -77,7 +77,7 @@
             bench.discovery.next().reply(200, bench.all(7), EPOCH, "X-Registry-Stale: true");
             Peer.Message call = second.next();
             assertWatches(7, call);
-            assertEquals(0, bench.discovery.waiting(), "no watch there fell silent first");
+            assertEquals(0, bench.discovery.waiting(), "the stale replica must not receive a watch");
             call.reply(200, Bench.list(8, false, bench.entry(0, "terminating")), EPOCH);
             assertWatches(8, second.next());
         }
--- a/src/test/java/larkworks/proxy/LargeFleet.java
+++ b/src/test/java/larkworks/proxy/LargeFleet.java
@@ -4,17 +4,17 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** Lists and peers as a proxy of a large fleet is told them, for tests and experiments. */
+/** Builds the server lists and the peer configuration of a large fleet for tests and experiments. */
 final class LargeFleet {
 
-    /** Peers stand at addresses of their own, where nobody listens. */
+    /** Peers in one /24 network; each peer has an IP address of its own, at which nothing listens. */
     private static final int PEERS_A_NET = 250;
 
     private LargeFleet() { }
 
     /**
-     * A whole list, or changes, in a wide form, indented and with long names, some 300 bytes an entry; a
-     * server with a status of null is left out.
+     * Returns a full list or changes as indented JSON with long names, about 300 bytes for each server;
+     * servers whose status is null are omitted.
      */
     static String list(int index, boolean whole, int size, IntFunction<String> address,
             IntFunction<String> status) {
@@ -37,7 +37,7 @@
                 server % 190, server, address, server % 7, status);
     }
 
-    /** The configuration's lines that make a proxy a member among so many, each with its comma. */
+    /** Returns the JSON settings that make a proxy one of {@code size} members; they end with a comma. */
     static String membership(int size, int own, String listen) {
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < size; i++) {
--- a/src/test/java/larkworks/proxy/LargeFleetTest.java
+++ b/src/test/java/larkworks/proxy/LargeFleetTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy among more than a thousand servers and as many proxies: none is left out, anywhere. */
+/** Tests that a proxy handles lists of 1,100 servers and 1,100 members without dropping any. */
 @Timeout(120)
 class LargeFleetTest {
 
     private static final int SIZE = 1_100;
-    /** Listeners behind the servers' addresses, each with as many servers as the others. */
+    /** Sockets that serve the servers' addresses; each stands for the same number of servers. */
     private static final int LISTENERS = 10;
     private static final int REQUESTS = 30;
 
@@ -30,7 +30,7 @@
         return bench.backends.get(server % LISTENERS).address();
     }
 
-    /** Has requests served, one after the other, all of them by this listener; -1 for any. */
+    /** Sends requests one by one and asserts that this listener serves them all; -1 stands for any. */
     private static void serve(Bench bench, int listener) throws Exception {
         for (int i = 0; i < REQUESTS; i++) {
             int by = bench.served();
@@ -59,17 +59,17 @@
             bench.start(folder, LargeFleet.list(1, true, SIZE, i -> address(bench, i), i -> "in_service"));
             Peer.Message watch = told.get(Peer.LIMIT_S, TimeUnit.SECONDS);
             assertTrue(watch.line().contains("?index=2&"), watch.line());
-            assertEquals(SIZE, members(admin), "each peer has its row");
+            assertEquals(SIZE, members(admin), "each peer must be among the members");
             serve(bench, -1);
 
-            // All change at once: but for one listener's, they drain.
+            // One change covers all servers: those of listener 3 stay in service, all others drain.
             watch.reply(200, LargeFleet.list(3, false, SIZE, i -> address(bench, i),
                     i -> i % LISTENERS == 3 ? "in_service" : "terminating"));
             watch = bench.discovery.next();
             assertTrue(watch.line().contains("?index=3&"), watch.line());
             serve(bench, 3);
 
-            // The whole list leaves out all but another listener's, where those that drained are back.
+            // A full list contains only the servers of listener 7, which drained and are now in service.
             watch.reply(200, LargeFleet.list(4, true, SIZE, i -> address(bench, i),
                     i -> i % LISTENERS == 7 ? "in_service" : null));
             watch = bench.discovery.next();
--- a/src/test/java/larkworks/proxy/ListingReaderTest.java
+++ b/src/test/java/larkworks/proxy/ListingReaderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lists that come in parts are read as those that come whole. */
+/** Tests that a list that arrives in parts is read like one that arrives in one piece. */
 class ListingReaderTest {
 
     private static final List<String> ZONES = List.of("a", "b");
@@ -55,7 +55,7 @@
         assertThrows(ListingReader.InvalidListException.class, () -> read(text, 9));
     }
 
-    /** Over 1 MiB of text; no bound is on bytes that follows from fewer servers than may be listed. */
+    /** A list of over 1 MiB is read: the maximum number of servers is the only limit on a list's size. */
     @Test
     void readsThousandsOfBackendsHoweverWideTheyAreWritten() throws Exception {
         String list = LargeFleet.list(7, true, MANY, i -> "127.101.102.103:" + (20_000 + i),
--- a/src/test/java/larkworks/proxy/MetricsTest.java
+++ b/src/test/java/larkworks/proxy/MetricsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What {@code /metrics} tells, and that it is there only where it was asked for. */
+/** Tests the content of {@code /metrics}, and that the path exists only if metrics are enabled. */
 @Timeout(60)
 class MetricsTest {
 
@@ -78,7 +78,7 @@
             meters.scrape(text::complete);
             rendering.await();
             meters.answered(0, Meters.Result.SERVED, 1_000);
-            assertFalse(text.isDone(), "recorded while it is rendered");
+            assertFalse(text.isDone(), "a value must be recorded while the scrape is still rendered");
             goOn.countDown();
             assertTrue(text.get(30, TimeUnit.SECONDS).contains("slow 7.0"));
         }
--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy process and our list service's, with a relay between them that fails (issue 10). */
+/** Tests a proxy process and a registry process whose connection fails at a relay (issue 10). */
 @Timeout(120)
 class OutageTest {
 
@@ -38,9 +38,9 @@
         register(0);
     }
 
-    /** Starts the proxy while the service is out of reach; then it is back, and serves as the list says. */
+    /** Starts the proxy while the registry is unreachable; it serves by the known list, then the new one. */
     private void start(String discovery) throws Exception {
-        // What is known from before names the second backend only.
+        // The list in the configuration contains the second backend only.
         String known = Bench.list(9, true, bench.entry(1, "in_service"));
         bench.at(Bench.freePort());
         Path config = Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), known)
@@ -48,7 +48,7 @@
         relay.refuse(true);
         proxy = new Program("", Map.of("GW_CONFIG", config.toString()), "proxy");
         Program.await(20, proxy.lines::toString, () -> relay.refused.get() > 2);
-        assertEquals(1, bench.served(), "from what is known, as the service is down at the start");
+        assertEquals(1, bench.served(), "must be served by the known list while the registry is unreachable");
         relay.refuse(false);
         awaitServedBy(0);
     }
@@ -89,18 +89,18 @@
 
     @Test
     void servesFromTheLastListThroughAnOutageAndConvergesAfterIt() throws Exception {
-        start("[\"127.0.0.1:1\",\"" + relay.address() + "\"]");  // nobody listens at the first
+        start("[\"127.0.0.1:1\",\"" + relay.address() + "\"]");  // nothing listens at the first address
         relay.refuse(true);
         service.kill();
         int before = relay.refused.get();
-        // Several attempts with growing pauses: the outage lasts well past the longest.
+        // The outage lasts for several attempts, until well after the pause between them is at its maximum.
         Program.await(30, proxy.lines::toString, () -> relay.refused.get() >= before + 7);
         assertEquals(0, bench.served());
         service("data");
         relay.target(address());
         caller.status("b0", "terminating");
         register(1);
-        assertEquals(0, bench.served(), "not told yet");
+        assertEquals(0, bench.served(), "the proxy has not received the new list yet");
         relay.refuse(false);
         awaitServedBy(1);
     }
@@ -119,7 +119,7 @@
         start('"' + relay.address() + '"');
         relay.refuse(true);
         service.kill();
-        service("other");  // the data is lost: its index passes the old one, and b0 was never in it
+        service("other");  // the data is lost: its index exceeds the old one, b0 was never in it
         caller.register("x", "127.0.0.1:2", "");
         caller.status("x", "terminated");
         register(1);
@@ -127,7 +127,7 @@
         relay.refuse(false);
         awaitServedBy(1);
         for (int i = 0; i < 10; i++) {
-            assertEquals(1, bench.served(), "b0 stands in no list of this service");
+            assertEquals(1, bench.served(), "b0 is in no list of the new registry");
         }
         assertTrue(proxy.lines.toString().contains("do not apply to the list in force"),
                 proxy.lines::toString);
--- a/src/test/java/larkworks/proxy/ProcessTest.java
+++ b/src/test/java/larkworks/proxy/ProcessTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The program as a process of its own. */
+/** Tests the proxy as a real process: signals, reloads and configuration errors. */
 @Timeout(120)
 class ProcessTest {
 
@@ -48,7 +48,7 @@
 
                 process.destroy();
                 while (ready(probe) == 200) {
-                    // Until the signal has arrived; the answer that says so also ends the connection.
+                    // Wait for the signal to arrive; the first answer after it closes the connection.
                     Thread.onSpinWait();
                 }
                 Bench.Client late = bench.client().look("late");
@@ -66,7 +66,7 @@
         }
     }
 
-    /** A process whose classes have that deadline, which sets how soon SIGKILL may come. */
+    /** Starts a process with this deadline for all classes; it sets how soon SIGKILL may follow SIGTERM. */
     private Process startWithDeadline(Bench bench, int port, long ms) throws IOException {
         bench.at(port);
         return start(bench.config(port, bench.all(1)).replace("2000000,", "500000,")
@@ -85,8 +85,8 @@
                 while (ready(probe) == 200) {
                     Thread.onSpinWait();
                 }
-                // Due 1.5 s after the longest deadline: no request that came within 0.7 s is due later than
-                // the earliest SIGKILL, but one may well be due later than 0.5 s before it.
+                // Its budget ends 1.5 s after the longest deadline. A request that arrives within 0.7 s of
+                // SIGTERM has its deadline before the earliest SIGKILL, but possibly less than 0.5 s before.
                 client.look("hung", 2_500);
                 bench.backends.get(0).next();
                 Peer.Message answer = client.answer();
@@ -109,7 +109,7 @@
                 Bench.Client half = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
                 Bench.Client silent = bench.client();
                 process.destroy();
-                // A connection that stays open would be sent to until SIGKILL.
+                // A client would send requests on an idle connection left open, until SIGKILL.
                 assertNull(silent.answer());
                 half.send("X-Call-Id: late\r\nX-Call-Class: look\r\nX-Budget-Ms: 20000\r\n\r\n");
                 Peer.Message answer = half.answer();
@@ -183,7 +183,10 @@
         }
     }
 
-    /** Moved, and moved back before the new address has answered: what it says later counts no more. */
+    /**
+     * Two reloads move discovery to another address and back before that address has answered. Its late
+     * answer must be ignored.
+     */
     @Test
     void turnsBackToTheOldDiscoveryWhileTheOtherHasNotAnswered() throws Exception {
         int port = Bench.freePort();
@@ -205,14 +208,14 @@
                 hangUp(process);
                 Peer.Message again = bench.discovery.next();
                 assertTrue(again.line().startsWith("GET /registry/instances?index=7&"), again.line());
-                // By now it has turned back; an answer before that would have counted.
+                // Once this call has ended, the proxy has moved back; an earlier answer would be applied.
                 asked.awaitEnd();
                 try {
                     asked.reply(200, Bench.list(8, true, bench.entry(1, "in_service")));
                 } catch (UncheckedIOException e) {
-                    // The connection is closed already.
+                    // The proxy has closed the connection already.
                 }
-                assertEquals(0, bench.served(), "the list held stays in force");
+                assertEquals(0, bench.served(), "the current list must stay in force");
                 again.reply(200, Bench.list(9, true, bench.entry(0, "in_service")));
                 assertTrue(bench.discovery.next().line().contains("?index=9&"));
                 assertEquals(0, bench.served());
@@ -241,7 +244,7 @@
         return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
 
-    /** Connects as soon as the process listens and is ready. */
+    /** Returns a connection to the process as soon as it listens and is ready. */
     private static Bench.Client connect(Bench bench) throws Exception {
         long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
         while (true) {
--- a/src/test/java/larkworks/proxy/ReadinessTest.java
+++ b/src/test/java/larkworks/proxy/ReadinessTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy becomes ready in time, whatever becomes of its first call to discovery (issue 20, step 4). */
+/** Tests that a proxy is ready in time even if its first call to discovery hangs or is slow (issue 20). */
 @Timeout(120)
 class ReadinessTest {
 
-    /** Between two bytes of an answer: well below the pause after which it would be given up. */
+    /** Pause after each byte of an answer, well below the 1 s after which a stalled answer times out. */
     private static final long DRIP_MS = 100;
 
     @TempDir
@@ -22,7 +22,7 @@
 
     private static void awaitReady(Bench bench) throws Exception {
         Bench.Client client = bench.client();
-        Program.await((int) Peer.LIMIT_S, () -> "never ready", () -> {
+        Program.await((int) Peer.LIMIT_S, () -> "the proxy did not become ready", () -> {
             try {
                 return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
             } catch (java.io.IOException e) {
@@ -31,7 +31,7 @@
         });
     }
 
-    /** What is known from before serves; the call that never ends is given up and made anew. */
+    /** The proxy serves by the list in its configuration; a call that hangs times out and is repeated. */
     @Test
     void isReadyWhereDiscoveryHangsForEverAndKeepsAskingIt() throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** An answer may go on for 4 s once it has begun; what is left of it counts when it comes. */
+    /** An answer may take 4 s from its first byte; a list completed after readiness is still applied. */
     @Test
     void isReadyWhileTheFirstListStillComesAndTakesItThen() throws Exception {
         try (Bench bench = new Bench(2)) {
@@ -69,11 +69,13 @@
             awaitReady(bench);
             drip.interrupt();
             drip.join(TimeUnit.SECONDS.toMillis(Peer.LIMIT_S));
-            assertTrue(asked.ended().getCount() > 0, "ready only once the answer was given up");
+            assertTrue(asked.ended().getCount() > 0,
+                    "the proxy must be ready while it still reads the answer");
             asked.raw(list.substring(sent[0]));
-            // Given up, it would ask for the whole list anew.
-            assertTrue(bench.discovery.next().line().contains("?index=7&"), "the list that came is not held");
-            assertEquals(1, bench.served(), "by the list that came");
+            // If the answer had timed out, the proxy would not ask from index 7 on.
+            assertTrue(bench.discovery.next().line().contains("?index=7&"),
+                    "the received list was not applied");
+            assertEquals(1, bench.served(), "must be served by the received list");
         }
     }
 }
--- a/src/test/java/larkworks/proxy/ReplacementTest.java
+++ b/src/test/java/larkworks/proxy/ReplacementTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes at one address for clients, with one folder that both keep things in. */
+/** Tests two proxy processes that listen at one client address and share one state folder. */
 @Timeout(180)
 class ReplacementTest {
 
@@ -30,7 +30,7 @@
     private Bench bench;
     private final List<Process> processes = new ArrayList<>();
     private final AtomicBoolean over = new AtomicBoolean();
-    /** Ids of the requests that came to backends. */
+    /** Ids of the requests that backends received. */
     private final List<String> ids = Collections.synchronizedList(new ArrayList<>());
     private final List<Thread> threads = new ArrayList<>();
 
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Requests until told to stop, some on fresh connections and some on kept ones; each must be served. */
+    /** Sends requests until stopped, on new and on kept-alive connections; asserts that each is served. */
     private void ask(String name, List<String> served, AtomicBoolean stop) throws Exception {
         Bench.Client kept = bench.client();
         for (int i = 0; !stop.get(); i++) {
@@ -113,7 +113,7 @@
                 kept = bench.client();
             }
             Peer.Message answer = kept.look(id).answer();
-            assertEquals(id, answer == null ? null : answer.text(), "the answer of " + id);
+            assertEquals(id, answer == null ? null : answer.text(), "the answer to " + id);
             served.add(id);
             if ("close".equals(answer.header("Connection"))) {
                 kept.socket().close();
@@ -164,10 +164,10 @@
         }
         assertEquals(List.of(), failed);
         assertTrue(young.isAlive());
-        assertTrue(tookMs < 6_000, "ready after ms: " + tookMs);
-        assertEquals(ids.size(), new HashSet<>(ids).size(), "no request came twice");
+        assertTrue(tookMs < 6_000, "took too long to be ready, in ms: " + tookMs);
+        assertEquals(ids.size(), new HashSet<>(ids).size(), "no request may reach a backend twice");
         assertTrue(new HashSet<>(ids).containsAll(served));
-        assertFalse(ids.contains("warm-up"), "warming up reaches no backend");
+        assertFalse(ids.contains("warm-up"), "requests of the warm-up must not reach a backend");
     }
 
     @Test
@@ -175,7 +175,7 @@
         int admin = Bench.freePort();
         Process old = start(admin);
         awaitReady(admin);
-        Process young = start(admin);  // its second address is in use
+        Process young = start(admin);  // its admin address is in use
         assertTrue(young.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
         assertNotEquals(0, young.exitValue());
         assertEquals(200, bench.client().look("on").status());
@@ -194,7 +194,8 @@
         awaitReady(two);
         assertEquals(200, Bench.call(two, "PUT", "/ops/backends/down", "{\"who\":\"b1\"}"));
         awaitReadiness(one, 503);
-        assertEquals(503, Bench.call(two, "GET", "/ops/readiness", ""), "b0 was called out at the other");
+        assertEquals(503, Bench.call(two, "GET", "/ops/readiness", ""),
+                "both backends are in maintenance, b0 by a command to the other process");
         assertEquals(200, Bench.call(one, "PUT", "/ops/backends/up", "{\"who\":\"b1\"}"));
         awaitReadiness(two, 200);
         assertTrue(young.isAlive());
--- a/src/test/java/larkworks/proxy/RunCommand.java
+++ b/src/test/java/larkworks/proxy/RunCommand.java
@@ -11,19 +11,19 @@
 import java.util.regex.Pattern;
 import larkworks.platform.ConfigFile;
 
-/** One real process by {@code run} of {@code deploy/balancer.toml}, from the root, after a build. */
+/** A proxy process, started by the {@code run} command of {@code deploy/balancer.toml} after a build. */
 final class RunCommand implements AutoCloseable {
 
     private static final Pattern FIELD = Pattern.compile("^(\\w+):\\s+(\\d+) kB$");
 
     final Process process;
-    /** When it was told to start, by {@link System#nanoTime}. */
+    /** Start of the process, by {@link System#nanoTime}. */
     final long startedNs = System.nanoTime();
 
     /**
-     * Starts {@code run}.
+     * Starts the process; its log goes to the file {@code log} in its own folder.
      *
-     * @param cores the cores that it may use, as taskset takes them; "" for all
+     * @param cores the CPU list for taskset; "" for all cores
      */
     RunCommand(String cores, Path config, Path own, Map<String, String> environment) throws Exception {
         String run = (String) ConfigFile.read(Path.of("deploy/balancer.toml")).get("run");
@@ -37,7 +37,7 @@
         process = builder.start();
     }
 
-    /** A figure in kB of {@code /proc/PID/status}, such as {@code VmRSS}. */
+    /** Returns a field of {@code /proc/PID/status} in kB, such as {@code VmRSS}. */
     long memoryKb(String field) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"),
                 StandardCharsets.UTF_8)) {
@@ -46,10 +46,10 @@
                 return Long.parseLong(found.group(2));
             }
         }
-        throw new IOException("no " + field + " of process " + process.pid());
+        throw new IOException("no field " + field + " in the status of process " + process.pid());
     }
 
-    /** Ticks of processor time used so far, of 10 ms each. */
+    /** Returns the processor time used so far, in ticks of 10 ms. */
     long processorTicks() throws IOException {
         String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
--- a/src/test/java/larkworks/proxy/StartTimesTest.java
+++ b/src/test/java/larkworks/proxy/StartTimesTest.java
@@ -9,7 +9,7 @@
 import larkworks.Balancer.ServerStatus;
 import org.junit.jupiter.api.Test;
 
-/** Starts told by a clock that differs from this process's by an hour. */
+/** Tests the start times of servers where the list's clock and this process's differ by an hour. */
 class StartTimesTest {
 
     private static final long S = 1_000_000;
@@ -33,7 +33,7 @@
         assertEquals(NOW, placed(NOW, ListKind.WHOLE, NEVER, server("a", NOW + HOUR)));
         assertEquals(NOW, placed(NOW + 5 * S, ListKind.CHANGES, NOW, server("a", NOW + HOUR)));
         assertEquals(NOW + 5 * S, placed(NOW + 6 * S, ListKind.CHANGES, NOW, server("b", NOW + HOUR + 5 * S)),
-                "by the difference that the first start showed");
+                "corrected by the clock offset that the first start revealed");
     }
 
     @Test
