--- a/src/main/java/larkworks/AssignmentOrder.java
+++ b/src/main/java/larkworks/AssignmentOrder.java
@@ -8,16 +8,16 @@
  */
 final class AssignmentOrder {
 
-    private final TreeSet<Backend> all = new TreeSet<>(Backend.TURN);
-    private final TreeSet<Backend> subset = new TreeSet<>(Backend.TURN);
+    private final TreeSet<Backend> all = new TreeSet<>(Backend.ASSIGNMENT_ORDER);
+    private final TreeSet<Backend> subset = new TreeSet<>(Backend.ASSIGNMENT_ORDER);
 
     /** Adds a server, or moves it to another place in the order. */
-    void place(Backend server, long turnAtUs) {
+    void put(Backend server, long assignedAtUs) {
         all.remove(server);
         subset.remove(server);
-        server.turnAtUs = turnAtUs;
+        server.assignedAtUs = assignedAtUs;
         all.add(server);
-        if (server.inSubset) {
+        if (server.isInSubset) {
             subset.add(server);
         }
     }
@@ -29,10 +29,10 @@
     }
 
     /** Adds a server to the subset, or removes it from the subset. */
-    void member(Backend server, boolean within) {
-        if (server.inSubset != within) {
-            server.inSubset = within;
-            if (within) {
+    void setInSubset(Backend server, boolean isInSubset) {
+        if (server.isInSubset != isInSubset) {
+            server.isInSubset = isInSubset;
+            if (isInSubset) {
                 subset.add(server);
             } else {
                 subset.remove(server);
--- a/src/main/java/larkworks/Balancer.java
+++ b/src/main/java/larkworks/Balancer.java
@@ -259,13 +259,13 @@
      * send none until the next such event. An {@code untilUs} of 0 removes the budget. The event may come
      * before the server is listed.
      */
-    void serverBudgetChanged(long nowUs, String server, long left, long untilUs);
+    void serverBudgetChanged(long nowUs, String server, long tokens, long untilUs);
 
     /**
      * Sets the number of requests of a class that this copy may accept until {@code untilUs}; after that it
      * may accept none until the next such event.
      */
-    void classBudgetChanged(long nowUs, int requestClass, long left, long untilUs);
+    void classBudgetChanged(long nowUs, int requestClass, long tokens, long untilUs);
 
     /**
      * Sets the servers that requests of a class prefer. A preferred server is chosen while this copy has no
--- a/src/main/java/larkworks/BudgetShare.java
+++ b/src/main/java/larkworks/BudgetShare.java
@@ -2,19 +2,19 @@
 
 /** The calls that this copy may make until a given time, out of a budget that all copies share. */
 final class BudgetShare {
-    private long left;
+    private long tokens;
     private final long untilUs;
 
-    BudgetShare(long left, long untilUs) {
-        this.left = left;
+    BudgetShare(long tokens, long untilUs) {
+        this.tokens = tokens;
         this.untilUs = untilUs;
     }
 
-    boolean any(long nowUs) {
-        return left > 0 && nowUs < untilUs;
+    boolean hasTokens(long nowUs) {
+        return tokens > 0 && nowUs < untilUs;
     }
 
-    boolean take(long nowUs) {
-        return any(nowUs) && left-- > 0;
+    boolean tryTake(long nowUs) {
+        return hasTokens(nowUs) && tokens-- > 0;
     }
 }
--- a/src/main/java/larkworks/Call.java
+++ b/src/main/java/larkworks/Call.java
@@ -8,51 +8,51 @@
 /** A request as this copy holds it, from its arrival until the outcome of its last attempt. */
 final class Call {
     final Request request;
-    final RequestClass kind;
+    final RequestClass requestClass;
     /** When an answer loses all its worth, or the client stops waiting for it. */
-    long endAtUs;
+    long usefulUntilUs;
     /** Its expected work as a multiple of the mean; 1 where unknown. */
-    final double size;
+    final double relativeWork;
     /** When the client gives up. */
     long deadlineUs;
     /** Whether the body is still being received; the time of the call begins after that. */
-    boolean uploading;
+    boolean isUploading;
     /** Whether part of the body was discarded, so that no further attempt can be sent. */
-    boolean spent;
+    boolean isBodyDiscarded;
     final List<Attempt> attempts = new ArrayList<>(2);
-    int out;
-    boolean ended;
+    int attemptsInFlight;
+    boolean hasEnded;
     /** Whether the call was already counted as served in time or not, or must not be counted. */
-    boolean tallied;
-    boolean beyondShare;
+    boolean isCounted;
+    boolean isBeyondQuota;
     /** Whether the call was queued for a server; it is then sent only if it is likely to be in time. */
-    boolean held;
+    boolean wasQueued;
     int probeRounds;
     /** Until when the call waits for the answers to its probes. */
-    long probeUntilUs = Long.MIN_VALUE;
+    long waitsForProbesUntilUs = Long.MIN_VALUE;
 
-    Call(Request request, RequestClass kind, long nowUs, long endAtUs, double size) {
+    Call(Request request, RequestClass requestClass, long nowUs, long usefulUntilUs, double relativeWork) {
         this.request = request;
-        this.kind = kind;
-        this.endAtUs = endAtUs;
-        this.size = size;
+        this.requestClass = requestClass;
+        this.usefulUntilUs = usefulUntilUs;
+        this.relativeWork = relativeWork;
         this.deadlineUs = nowUs + request.timeLeftUs();
-        this.uploading = request.isUploading();
+        this.isUploading = request.isUploading();
     }
 
     /**
      * Returns the time left for an answer to be useful. While the body is being received that is the full
      * time, unless the upload lasts past the deadline.
      */
-    long leftUs(long nowUs) {
-        long fromUs = deadlineUs - request.timeLeftUs();
-        return endAtUs - (uploading && nowUs < deadlineUs ? fromUs : nowUs);
+    long timeLeftUs(long nowUs) {
+        long startUs = deadlineUs - request.timeLeftUs();
+        return usefulUntilUs - (isUploading && nowUs < deadlineUs ? startUs : nowUs);
     }
 
     /** Starts the time of the call, as its body has been received in full. */
-    void uploaded(long nowUs) {
-        uploading = false;
-        endAtUs += nowUs + request.timeLeftUs() - deadlineUs;
+    void uploadCompleted(long nowUs) {
+        isUploading = false;
+        usefulUntilUs += nowUs + request.timeLeftUs() - deadlineUs;
         deadlineUs = nowUs + request.timeLeftUs();
     }
 
@@ -61,7 +61,7 @@
      * not counted: the servers might still have answered in time.
      */
     void clientLeft(long nowUs) {
-        ended = true;
-        tallied |= nowUs < endAtUs;
+        hasEnded = true;
+        isCounted |= nowUs < usefulUntilUs;
     }
 }
--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -16,188 +16,189 @@
  * The implementation of the decision module. Its types, events and actions are in {@link Balancer}.
  *
  * <p>Without failures a call goes to a server with none of this copy's calls in flight, else to the one with
- * the fewest, and among equals to the least recently assigned; see {@link #better}. The rest of this class
+ * the fewest, and among equals to the least recently assigned; see {@link #isBetter}. The rest of this class
  * handles failures and limits.
  */
 public final class Logic implements Balancer {
 
-    /**
-     * Consecutive connection failures after which a server is ejected: one may be chance, the second confirms
-     * it.
-     */
-    private static final int MAX_FAILS = 2;
+    /** Consecutive connection failures after which a server is ejected: a single one may be chance. */
+    private static final int EJECTION_CONNECTION_FAILURES = 2;
     /**
      * How long a server is demoted, or ejected for the first time: a few attempts a minute do no harm, and a
      * restart takes some seconds.
      */
-    private static final long FAIL_TIMEOUT_US = 3_000_000;
+    private static final long FAILURE_PENALTY_US = 3_000_000;
     /** Retry tokens added by each request, so that retries add at most a tenth to the load over time. */
-    private static final double RETRY_EARNED = 0.1;
+    private static final double RETRY_TOKENS_PER_REQUEST = 0.1;
     /** Retry tokens that may be saved up for a burst of failures. */
-    private static final double RETRY_SAVED = 5;
+    private static final double MAX_RETRY_TOKENS = 5;
     /**
      * The delay before a failed watch is repeated. The current list may be used for four times this long at
      * least, so that there is no hurry.
      */
-    private static final long NEW_WATCH_US = 1_000_000;
-    /** The maximum random delay added to that before discovery is queried; doubled at each failure. */
-    private static final long ASK_AGAIN_US = 250_000;
+    private static final long WATCH_RETRY_DELAY_US = 1_000_000;
+    /** The maximum random delay added to {@link #WATCH_RETRY_DELAY_US}; doubled at each failure. */
+    private static final long WATCH_RETRY_JITTER_US = 250_000;
     /**
      * The part of the total worth that probes may cost over all tiers. No probe is sent where two of them for
      * each call would cost more.
      */
-    private static final double PROBE_SPEND = 0.02;
+    private static final double MAX_PROBE_COST_SHARE = 0.02;
     /** Probes in one round before a call: one may be lost or slow, a third would rarely be of use. */
-    private static final int PROBES_AT_ONCE = 2;
+    private static final int PROBES_PER_ROUND = 2;
     /** The mean load in calls in flight per server, below which one probe in a round is mostly enough. */
-    private static final double LIGHT_LOAD = 0.25;
+    private static final double LIGHT_LOAD_CALLS = 0.25;
     /** Maximum rounds of probes before a call is sent to the best server known. */
-    private static final int PROBE_ROUNDS = 3;
+    private static final int MAX_PROBE_ROUNDS = 3;
     /** A call waits for its probes only while probes take no more than this part of the aim. */
-    private static final double PROBE_SHARE_OF_AIM = 0.02;
+    private static final double MAX_PROBE_SHARE_OF_AIM = 0.02;
     /** A probe counts as unanswered after this many times the mean duration of probes. */
-    private static final double OVERDUE = 3;
+    private static final double PROBE_TIMEOUT_MULTIPLE = 3;
     /**
      * The load report of a busy server is valid for this part of the mean duration of its calls in flight, as
      * most of their work is still to do.
      */
-    private static final double BUSY_HOLDS = 0.25;
+    private static final double BUSY_REPORT_VALIDITY = 0.25;
     /** The weight of a call's hinted work beyond the mean: hints err, and not all of its time is work. */
-    private static final double HOPE = 0.5;
+    private static final double EXTRA_WORK_WEIGHT = 0.5;
     /**
-     * A server may be chosen if its expected time is at most this part of the time left, as a call can take
-     * far longer than the mean.
+     * A server may be chosen for a call if the expected duration there is at most this part of the time left,
+     * as a call can take far longer than the mean.
      */
-    private static final double CROWD = 0.45;
+    private static final double MAX_SHARE_OF_TIME_LEFT = 0.45;
     /** A server is assigned calls at most this many times less often, or more often, than the mean. */
-    private static final double MOST_SLOWNESS = 20;
+    private static final double MAX_SLOWNESS = 20;
     /** A reported load changes the assignment interval at most by this factor, as reports are inexact. */
-    private static final double MOST_CROWD = 3;
+    private static final double MAX_LOAD_RATIO = 3;
     /** The part of the load under which a cold server would fail that all copies together may send to it. */
-    private static final double COLD_MARGIN = 0.6;
+    private static final double COLD_LOAD_MARGIN = 0.6;
     /** A call is given up if its time left is below this quantile of the durations of calls. */
-    private static final double QUICK = 0.3;
-    /** The mean duration of calls is capped at this multiple of that quantile. */
-    private static final double USUAL = 2;
+    private static final double FAST_QUANTILE = 0.3;
+    /** The mean duration of calls is capped at this multiple of the quantile {@link #FAST_QUANTILE}. */
+    private static final double MAX_MEAN_TO_FAST_RATIO = 2;
     /** A queued call is sent only with this multiple of the mean duration left: else half would be late. */
-    private static final double HELD_MARGIN = 1.4;
-    /** The relative step by which the estimate of that quantile moves at each answer. */
-    private static final double QUICK_STEP = 0.05;
+    private static final double QUEUED_CALL_MARGIN = 1.4;
+    /** The relative step by which the estimate of {@link #FAST_QUANTILE} moves with each answer. */
+    private static final double FAST_QUANTILE_STEP = 0.05;
     /** The ejection time doubles at each further failure, at most this many times. */
-    private static final int MOST_DOUBLINGS = 4;
+    private static final int MAX_EJECTION_DOUBLINGS = 4;
     /** An attempt counts as stalled after this many times its expected duration, as durations vary widely. */
-    private static final double CALL_OVERDUE = 5;
+    private static final double STALL_MULTIPLE = 5;
     /** Consecutive stalled attempts, or unanswered probes, after which a server is ejected. */
-    private static final int SILENCES = 2;
-    /** Rounds by which the next call to a server of another zone is delayed where that has a price. */
-    private static final double FAR_ROUNDS = 1;
+    private static final int EJECTION_UNANSWERED = 2;
+    /**
+     * How much later a server of another zone is assigned its next call where crossing zones has a price, in
+     * rounds; a round is one call to each server of the subset.
+     */
+    private static final double CROSS_ZONE_DELAY_ROUNDS = 1;
     /** The weight of the latest answer in a server's share of errors. */
-    private static final double ERROR_WEIGHT = 0.2;
+    private static final double ERROR_MEAN_WEIGHT = 0.2;
     /** The share of errors above which a server may be ejected for them. */
-    private static final double ERRORS = 0.35;
+    private static final double EJECTION_ERROR_SHARE = 0.35;
     /** The longest delay of a slow server's next call, as the server may have recovered. */
-    private static final double MOST_LATE_US = 24_000_000;
+    private static final double MAX_ASSIGNMENT_DELAY_US = 24_000_000;
     /**
      * Requests that a tenant may send in a burst above its rate, as the tenant's requests are spread over the
      * copies by chance.
      */
-    private static final double SHARE_SAVED = 8;
+    private static final double TENANT_BURST_REQUESTS = 8;
     /** The load in calls in flight that is assumed for a server that rejected a call as full. */
-    private static final int FULL_LOAD = 1000;
+    private static final int FULL_SERVER_LOAD_CALLS = 1000;
     /** Calls admitted for each call served in time; the excess over 1 is what congestion may waste. */
-    private static final double BEGUN_PER_SERVED = 1.5;
-    /** Calls admitted beyond that, so that an occasional call shows whether congestion has cleared. */
-    private static final double BEGUN_FREE = 1;
+    private static final double ADMITTED_PER_SERVED = 1.5;
+    /** Calls admitted in any case, so that an occasional call shows whether congestion has cleared. */
+    private static final double ADMITTED_EXTRA_CALLS = 1;
     /** The minimum size of a copy's subset of servers: enough that most remain when several fail together. */
-    private static final int SUBSET = 10;
+    private static final int MIN_SUBSET_SERVERS = 10;
     /**
      * The minimum size of the subset where calls can probe servers: an idle server is found sooner among more
      * servers, and each is still used again before its idle connections expire.
      */
-    private static final int PROBED_SUBSET = 48;
+    private static final int MIN_PROBED_SUBSET_SERVERS = 48;
     /** The minimum number of copies whose subsets contain a given server: with fewer, loads are uneven. */
-    private static final int COVER = 4;
+    private static final int MIN_COPIES_PER_SERVER = 4;
     /** The maximum delay until a server gets a call after maintenance: half of the 5 s allowed for that. */
-    private static final long RETURN_US = 2_500_000;
+    private static final long MAX_RETURN_DELAY_US = 2_500_000;
     /** The weight of the latest value in a running mean. */
     private static final double MEAN_WEIGHT = 0.1;
 
     private final Settings settings;
     private final Actions actions;
     private final SplittableRandom random;
-    private final Map<String, Backend> byId = new HashMap<>();
-    /** All servers, in the order of the ring ({@link Backend#RING}). */
+    private final Map<String, Backend> serversById = new HashMap<>();
+    /** All servers, in the order of the ring ({@link Backend#RING_ORDER}). */
     private final List<Backend> servers = new ArrayList<>();
-    private final AssignmentOrder order = new AssignmentOrder();
+    private final AssignmentOrder assignmentOrder = new AssignmentOrder();
     /** The servers that this copy uses, see {@link #chooseSubset}; others serve while none of these can. */
     private final List<Backend> subset = new ArrayList<>();
     /** The cold servers of the subset. */
-    private final List<Backend> cold = new ArrayList<>();
+    private final List<Backend> coldSubset = new ArrayList<>();
     /** Servers that were idle by their answer to a probe, while that answer is valid. */
-    private final List<Backend> foundIdle = new ArrayList<>();
+    private final List<Backend> probedIdle = new ArrayList<>();
     /** The number of servers examined so far in all choices of a server for a call or a probe. */
     private long serversExamined;
     /** Whether servers were added, removed or changed their weight since the subset was chosen. */
-    private boolean reshaped = true;
+    private boolean isSubsetOutdated = true;
     /** When the next unavailable server can be used again; computed at most once per event. */
-    private long nextReturnAtUs;
-    private boolean nextReturnKnown;
+    private long nextAvailableUs;
+    private boolean isNextAvailableKnown;
     /** Servers in maintenance, with their entry in the list; null for a server that is not listed as up. */
-    private final Map<String, Server> out = new HashMap<>();
-    /** When the maintenance of a server ended. */
-    private final Map<String, Long> returns = new HashMap<>();
-    private final Map<String, Call> calls = new HashMap<>();
+    private final Map<String, Server> serversInMaintenance = new HashMap<>();
+    /** By server, when its maintenance ended. */
+    private final Map<String, Long> maintenanceEndedAtUs = new HashMap<>();
+    private final Map<String, Call> callsById = new HashMap<>();
     /** Calls that wait for a server or for probes, oldest first. */
-    private final List<Call> waiting = new ArrayList<>();
+    private final List<Call> queuedCalls = new ArrayList<>();
     /** Attempts in the order in which they were started, to find those that stall. */
-    private final ArrayDeque<Attempt> sent = new ArrayDeque<>();
+    private final ArrayDeque<Attempt> startedAttempts = new ArrayDeque<>();
     /** The number of servers in the subset, where a server at its end counts in part. */
-    private double turns;
-    private double meanSize = 1;
-    private double meanCrowd;
+    private double subsetSize;
+    private double meanWeight = 1;
+    private double meanAnswerLoad;
     /** Calls sent and not yet counted in the recent calls, oldest first. */
-    private final ArrayDeque<Call> pending = new ArrayDeque<>();
-    private final RecentCallCounts tally;
-    private boolean jam;
+    private final ArrayDeque<Call> uncountedCalls = new ArrayDeque<>();
+    private final RecentCallCounts recentCalls;
+    private boolean isCongested;
     /** The share of errors among the latest answers of all servers. */
-    private double errors;
-    private double retries = RETRY_SAVED;
+    private double errorShare;
+    private double retryTokens = MAX_RETRY_TOKENS;
     private long wakeAtUs = Long.MAX_VALUE;
-    private boolean begun;
-    private boolean watching;
-    private long askAtUs = Long.MAX_VALUE;
-    private int askFailures;
+    private boolean hasServerList;
+    private boolean isWatching;
+    private long discoveryQueryAtUs = Long.MAX_VALUE;
+    private int discoveryFailures;
     /** The probes that the price allows for each call, and the probes saved up. */
-    private final double probesEarned;
-    private double probes;
-    private double probeUs;
+    private final double probesPerCall;
+    private double probeTokens;
+    private double meanProbeUs;
     /** The mean load reported to probes: the load assumed for a server without a valid report. */
-    private double reportedLoad;
+    private double meanProbedLoad;
     /** The mean duration of calls per call in flight at the server, over all servers. */
-    private double callUs;
-    /** The quantile {@link #QUICK} of the durations of calls per call in flight at the server. */
-    private double quickUs;
+    private double meanCallUs;
+    /** The quantile {@link #FAST_QUANTILE} of the durations of calls per call in flight at the server. */
+    private double fastCallUs;
     /** The number of calls whose duration was measured. */
-    private long timed;
-    private double tookUs;
-    private double ahead;
-    private double workUs;
+    private long measuredCalls;
+    /** Decaying sums of the durations of calls and of the loads they met, over all servers. */
+    private double durationSumUs;
+    private double loadSum;
+    private double meanWorkUs;
     /** The mean durations of the calls of each class, and of all classes. */
-    private final double[] kindUs;
-    private double anyUs;
+    private final double[] meanDurationByClassUs;
+    private double meanDurationUs;
     /** The time that a client allowed for the latest request that was a first try. */
-    private double firstTryUs;
-    /** For each tenant, until when its requests so far have used up its quota at the quota's rate. */
-    private final double[] sharesAtUs;
+    private double firstTryTimeLeftUs;
+    /** By tenant, the time until which its requests so far have used up its quota. */
+    private final double[] quotaUsedUntilUs;
     /** Budgets by server, also for unlisted ones; budgets by class; the preferred servers by class. */
     private final Map<String, BudgetShare> serverBudgets = new HashMap<>();
     private final BudgetShare[] classBudgets;
-    private final List<Collection<String>> affinities = new ArrayList<>();
-    private double gapUs;
-    private long lastSendUs = Long.MIN_VALUE;
+    private final List<Collection<String>> preferredServers = new ArrayList<>();
+    private double meanSendGapUs;
+    private long lastSentAtUs = Long.MIN_VALUE;
     /** The mean interval at which a warm server serves calls of this copy, and when the last was served. */
-    private double servedUs;
-    private long servedAtUs = Long.MIN_VALUE;
+    private double meanServedGapUs;
+    private long lastServedAtUs = Long.MIN_VALUE;
 
     /**
      * Creates an instance without any servers.
@@ -209,19 +210,20 @@
         this.settings = settings;
         this.actions = Objects.requireNonNull(actions, "actions");
         this.random = new SplittableRandom(seed);
-        this.kindUs = new double[settings.classes().size()];
+        this.meanDurationByClassUs = new double[settings.classes().size()];
         this.classBudgets = new BudgetShare[settings.classes().size()];
-        settings.classes().forEach(c -> affinities.add(List.of()));
-        this.sharesAtUs = new double[settings.tenants().size()];
-        Arrays.fill(sharesAtUs, Long.MIN_VALUE);
-        this.tally = new RecentCallCounts(
+        settings.classes().forEach(c -> preferredServers.add(List.of()));
+        this.quotaUsedUntilUs = new double[settings.tenants().size()];
+        Arrays.fill(quotaUsedUntilUs, Long.MIN_VALUE);
+        this.recentCalls = new RecentCallCounts(
                 settings.classes().stream().mapToLong(RequestClass::aimUs).max().orElseThrow());
-        double price = settings.probePrice() * settings.tiers();
-        double affordable = price > 0 ? PROBE_SPEND / price : PROBES_AT_ONCE * PROBE_ROUNDS;
-        this.probesEarned = settings.limits().canProbe() && affordable >= PROBES_AT_ONCE
-                ? Math.min(affordable, PROBES_AT_ONCE * PROBE_ROUNDS) : 0;
-        this.probes = probesEarned * PROBE_ROUNDS;
-        this.probeUs = settings.tickUs();
+        double pricePerProbe = settings.probePrice() * settings.tiers();
+        double affordableProbes = pricePerProbe > 0 ? MAX_PROBE_COST_SHARE / pricePerProbe
+                : PROBES_PER_ROUND * MAX_PROBE_ROUNDS;
+        this.probesPerCall = settings.limits().canProbe() && affordableProbes >= PROBES_PER_ROUND
+                ? Math.min(affordableProbes, PROBES_PER_ROUND * MAX_PROBE_ROUNDS) : 0;
+        this.probeTokens = probesPerCall * MAX_PROBE_ROUNDS;
+        this.meanProbeUs = settings.tickUs();
     }
 
     // ---- the list of servers
@@ -229,118 +231,119 @@
     @Override
     public void serversChanged(long nowUs, ListKind kind, List<Server> list) {
         if (kind != ListKind.CHANGES) {
-            reshaped |= !servers.isEmpty();
-            servers.forEach(s -> s.up = false);
-            out.replaceAll((id, line) -> null);
-        }
-        list.forEach(line -> learn(nowUs, line));
-        settle(nowUs);
-        if (!begun) {
-            begun = true;
-            askAtUs = settings.watchesDiscovery() ? nowUs : Long.MAX_VALUE;
+            isSubsetOutdated |= !servers.isEmpty();
+            servers.forEach(server -> server.isUp = false);
+            serversInMaintenance.replaceAll((id, entry) -> null);
+        }
+        list.forEach(entry -> updateServer(nowUs, entry));
+        updateSubset(nowUs);
+        if (!hasServerList) {
+            hasServerList = true;
+            discoveryQueryAtUs = settings.watchesDiscovery() ? nowUs : Long.MAX_VALUE;
         } else if (settings.watchesDiscovery()) {
-            watching = true;
-            askFailures = 0;
-            askAtUs = Long.MAX_VALUE;
+            isWatching = true;
+            discoveryFailures = 0;
+            discoveryQueryAtUs = Long.MAX_VALUE;
         }
-        advance(nowUs);
+        runDueWork(nowUs);
     }
 
-    /** Removes the servers that are not up any more, and chooses the subset again if it is outdated. */
-    private void settle(long nowUs) {
-        if (!reshaped) {
+    /** Removes the servers that are not up any more and chooses the subset again, if it is outdated. */
+    private void updateSubset(long nowUs) {
+        if (!isSubsetOutdated) {
             return;
         }
-        reshaped = false;
-        servers.removeIf(s -> !s.up && forget(s));
+        isSubsetOutdated = false;
+        servers.removeIf(server -> !server.isUp && removeServer(server));
         chooseSubset();
-        cold.clear();
-        subset.stream().filter(s -> share(s, nowUs) < 1).forEach(cold::add);
-        meanSize = servers.stream().mapToDouble(s -> s.size).average().orElse(1);
+        coldSubset.clear();
+        subset.stream().filter(server -> capacityShare(server, nowUs) < 1).forEach(coldSubset::add);
+        meanWeight = servers.stream().mapToDouble(server -> server.weight).average().orElse(1);
     }
 
-    private boolean forget(Backend s) {
-        order.remove(s);
-        foundIdle.remove(s);
-        return byId.remove(s.id, s);
+    private boolean removeServer(Backend server) {
+        assignmentOrder.remove(server);
+        probedIdle.remove(server);
+        return serversById.remove(server.id, server);
     }
 
     /** Adds a server at its place on the ring. */
-    private void enter(Backend s) {
-        byId.put(s.id, s);
-        servers.add(-1 - Collections.binarySearch(servers, s, Backend.RING), s);
-        order.place(s, Long.MIN_VALUE + random.nextLong(1L << 32));
-        reshaped = true;
+    private void addServer(Backend server) {
+        serversById.put(server.id, server);
+        servers.add(-1 - Collections.binarySearch(servers, server, Backend.RING_ORDER), server);
+        assignmentOrder.put(server, Long.MIN_VALUE + random.nextLong(1L << 32));
+        isSubsetOutdated = true;
     }
 
-    private void leave(Backend s) {
-        s.up = false;
-        reshaped = true;
+    private void markRemoved(Backend server) {
+        server.isUp = false;
+        isSubsetOutdated = true;
     }
 
     @Override
     public void maintenanceChanged(long nowUs, String id, boolean inMaintenance) {
-        if (inMaintenance == out.containsKey(id)) {
+        if (inMaintenance == serversInMaintenance.containsKey(id)) {
             return;
         }
-        Backend s = byId.get(id);
+        Backend server = serversById.get(id);
         if (inMaintenance) {
-            out.put(id, s == null ? null
-                    : new Server(id, s.startedAtUs, s.zone, s.group, s.size, ServerStatus.UP));
-            if (s != null) {
-                leave(s);
+            serversInMaintenance.put(id, server == null ? null
+                    : new Server(id, server.startedAtUs, server.zone, server.group, server.weight,
+                            ServerStatus.UP));
+            if (server != null) {
+                markRemoved(server);
             }
         } else {
-            Server line = out.remove(id);
-            returns.values().removeIf(at -> nowUs - at > settings.rules().coldUs());
-            returns.put(id, nowUs);
-            if (line != null) {
-                learn(nowUs, line);
-                byId.get(id).entryByUs = nowUs + random.nextLong(RETURN_US);
+            Server entry = serversInMaintenance.remove(id);
+            maintenanceEndedAtUs.values().removeIf(at -> nowUs - at > settings.rules().coldUs());
+            maintenanceEndedAtUs.put(id, nowUs);
+            if (entry != null) {
+                updateServer(nowUs, entry);
+                serversById.get(id).firstUseByUs = nowUs + random.nextLong(MAX_RETURN_DELAY_US);
             }
         }
-        settle(nowUs);
+        updateSubset(nowUs);
         actions.log("server " + id + (inMaintenance ? " is in maintenance" : " has left maintenance")
                 + " by the operator's command");
-        advance(nowUs);
+        runDueWork(nowUs);
     }
 
-    private void learn(long nowUs, Server line) {
-        if (out.containsKey(line.id())) {
-            out.put(line.id(), line.status() == ServerStatus.UP ? line : null);
+    private void updateServer(long nowUs, Server entry) {
+        if (serversInMaintenance.containsKey(entry.id())) {
+            serversInMaintenance.put(entry.id(), entry.status() == ServerStatus.UP ? entry : null);
             return;
         }
-        Backend s = byId.get(line.id());
+        Backend server = serversById.get(entry.id());
         // The list may show the restart made during the maintenance only after the maintenance has ended.
-        boolean restarted = s != null && line.startedAtUs() != s.startedAtUs
-                && (s.returnedAtUs == 0 || line.startedAtUs() > s.returnedAtUs);
-        if (line.status() != ServerStatus.UP) {
-            if (s != null) {
-                leave(s);
+        boolean hasRestarted = server != null && entry.startedAtUs() != server.startedAtUs
+                && (server.maintenanceEndedAtUs == 0 || entry.startedAtUs() > server.maintenanceEndedAtUs);
+        if (entry.status() != ServerStatus.UP) {
+            if (server != null) {
+                markRemoved(server);
             }
             return;
         }
-        boolean fresh = s == null || restarted;
-        if (fresh) {
-            if (s != null) {
-                servers.remove(s);
-                forget(s);
+        boolean isNew = server == null || hasRestarted;
+        if (isNew) {
+            if (server != null) {
+                servers.remove(server);
+                removeServer(server);
             }
-            s = new Backend(line.id());
-            s.returnedAtUs = returns.getOrDefault(line.id(), 0L);
-            s.budget = serverBudgets.get(line.id());
-            enter(s);
+            server = new Backend(entry.id());
+            server.maintenanceEndedAtUs = maintenanceEndedAtUs.getOrDefault(entry.id(), 0L);
+            server.budget = serverBudgets.get(entry.id());
+            addServer(server);
         }
-        reshaped |= s.size != line.weight();
-        s.startedAtUs = line.startedAtUs();
-        s.zone = line.zone();
-        s.group = line.group();
-        s.size = line.weight();
-        if (fresh && (begun || share(s, nowUs) < 1)) {
-            s.entryFromUs = nowUs;
-            s.entryTurns = random.nextDouble();
+        isSubsetOutdated |= server.weight != entry.weight();
+        server.startedAtUs = entry.startedAtUs();
+        server.zone = entry.zone();
+        server.group = entry.group();
+        server.weight = entry.weight();
+        if (isNew && (hasServerList || capacityShare(server, nowUs) < 1)) {
+            server.waitFromUs = nowUs;
+            server.waitIntervals = random.nextDouble();
         }
-        s.up = true;
+        server.isUp = true;
     }
 
     /**
@@ -353,46 +356,47 @@
      */
     private void chooseSubset() {
         subset.clear();
-        turns = servers.size();
-        int wanted = Math.max(probesEarned > 0 ? PROBED_SUBSET : SUBSET,
-                COVER * servers.size() / settings.copies());
-        if (wanted >= servers.size()) {
+        subsetSize = servers.size();
+        int wantedServers = Math.max(probesPerCall > 0 ? MIN_PROBED_SUBSET_SERVERS : MIN_SUBSET_SERVERS,
+                MIN_COPIES_PER_SERVER * servers.size() / settings.copies());
+        if (wantedServers >= servers.size()) {
             subset.addAll(servers);
-            servers.forEach(s -> {
-                s.part = 1;
-                order.member(s, true);
+            servers.forEach(server -> {
+                server.subsetShare = 1;
+                assignmentOrder.setInSubset(server, true);
             });
             return;
         }
-        double whole = servers.stream().mapToDouble(s -> s.size).sum();
-        double arcs = Math.rint((double) settings.copies() * wanted / servers.size());
-        double arc = arcs / settings.copies() * whole;
-        double at = -whole * settings.copy() / settings.copies();
-        turns = 0;
-        for (Backend s : servers) {
-            double within = overlap(at, s.size, arc) + overlap(at + whole, s.size, arc);
-            s.part = within > 0 ? within / s.size : 1;
-            order.member(s, within > 0);
-            if (within > 0) {
-                subset.add(s);
-                turns += s.part;
+        double totalWeight = servers.stream().mapToDouble(server -> server.weight).sum();
+        double copiesPerServer = Math.rint((double) settings.copies() * wantedServers / servers.size());
+        double arcWeight = copiesPerServer / settings.copies() * totalWeight;
+        double position = -totalWeight * settings.copy() / settings.copies();
+        subsetSize = 0;
+        for (Backend server : servers) {
+            double coveredWeight = overlap(position, server.weight, arcWeight)
+                    + overlap(position + totalWeight, server.weight, arcWeight);
+            server.subsetShare = coveredWeight > 0 ? coveredWeight / server.weight : 1;
+            assignmentOrder.setInSubset(server, coveredWeight > 0);
+            if (coveredWeight > 0) {
+                subset.add(server);
+                subsetSize += server.subsetShare;
             }
-            at += s.size;
+            position += server.weight;
         }
     }
 
-    /** Returns how much of the interval of {@code length} from {@code at} lies between 0 and {@code end}. */
-    private static double overlap(double at, double length, double end) {
-        return Math.max(0, Math.min(at + length, end) - Math.max(at, 0));
+    /** Returns how much of the interval from {@code start} to {@code start + length} lies in 0..end. */
+    private static double overlap(double start, double length, double end) {
+        return Math.max(0, Math.min(start + length, end) - Math.max(start, 0));
     }
 
     /** Returns the share of its full capacity that a server has by now (slow start). */
-    private double share(Backend s, long nowUs) {
+    private double capacityShare(Backend server, long nowUs) {
         Rules rules = settings.rules();
-        long fromUs = Math.max(s.startedAtUs, s.returnedAtUs);
-        long age = nowUs - fromUs;
-        return fromUs <= 0 || age >= rules.coldUs() ? 1
-                : rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, age) / rules.coldUs();
+        long startUs = Math.max(server.startedAtUs, server.maintenanceEndedAtUs);
+        long ageUs = nowUs - startUs;
+        return startUs <= 0 || ageUs >= rules.coldUs() ? 1
+                : rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, ageUs) / rules.coldUs();
     }
 
     /**
@@ -401,61 +405,67 @@
      * warm server's capacity is at least what it serves now. Calls served are the measure rather than calls
      * sent, as a rejected call is sent again to further servers.
      */
-    private double turnUs(Backend s, long nowUs) {
-        double share = share(s, nowUs);
-        double safeUs = share == 1 ? 0 : (servedUs > 0 ? servedUs : paceUs())
-                / (share * settings.rules().tipMultiple() * COLD_MARGIN);
-        return Math.max(paceUs(), safeUs) / s.part;
+    private double assignmentIntervalUs(Backend server, long nowUs) {
+        double capacityShare = capacityShare(server, nowUs);
+        double safeIntervalUs = capacityShare == 1 ? 0 : (meanServedGapUs > 0 ? meanServedGapUs : roundUs())
+                / (capacityShare * settings.rules().tipMultiple() * COLD_LOAD_MARGIN);
+        return Math.max(roundUs(), safeIntervalUs) / server.subsetShare;
     }
 
     /** Updates the mean interval at which a warm server serves calls; a cold server counts in part. */
-    private void countServed(long nowUs) {
-        cold.removeIf(s -> share(s, nowUs) == 1);
-        double warm = turns - cold.stream().mapToDouble(s -> s.part * (1 - share(s, nowUs))).sum();
-        double each = (nowUs - servedAtUs) * warm;
-        servedUs += servedAtUs == Long.MIN_VALUE ? 0 : (each - servedUs) * (servedUs == 0 ? 1 : MEAN_WEIGHT);
-        servedAtUs = nowUs;
+    private void recordServed(long nowUs) {
+        coldSubset.removeIf(server -> capacityShare(server, nowUs) == 1);
+        double warmServers = subsetSize - coldSubset.stream()
+                .mapToDouble(server -> server.subsetShare * (1 - capacityShare(server, nowUs))).sum();
+        double serverGapUs = (nowUs - lastServedAtUs) * warmServers;
+        meanServedGapUs += lastServedAtUs == Long.MIN_VALUE ? 0
+                : (serverGapUs - meanServedGapUs) * (meanServedGapUs == 0 ? 1 : MEAN_WEIGHT);
+        lastServedAtUs = nowUs;
     }
 
     /** Returns the time in which this copy sends one call to each server of the subset. */
-    private double paceUs() {
-        return (gapUs > 0 ? gapUs : settings.classes().get(0).aimUs()) * Math.max(1, turns);
+    private double roundUs() {
+        return (meanSendGapUs > 0 ? meanSendGapUs : settings.classes().get(0).aimUs())
+                * Math.max(1, subsetSize);
     }
 
     /**
      * Returns how many times longer than the mean the server's calls take. It moves the server's place in the
      * assignment order, which is what decides among idle servers.
      */
-    private double slowness(Backend s) {
-        double seen = s.ahead == 0 || callUs == 0 ? 1
-                : Math.min(MOST_SLOWNESS, Math.max(1 / MOST_SLOWNESS, s.callUs() / callUs));
+    private double slowness(Backend server) {
+        double measured = server.loadSum == 0 || meanCallUs == 0 ? 1
+                : Math.min(MAX_SLOWNESS, Math.max(1 / MAX_SLOWNESS, server.meanCallUs() / meanCallUs));
         // A copy with few calls measures a server's speed too late, and durations include waiting in other
         // tiers. So the registered weight goes first; a measured duration counts only above the mean.
-        double slow = s.size == meanSize ? seen
-                : seen > 1 ? Math.max(seen, meanSize / s.size) : meanSize / s.size;
-        return slow * (s.reports ? Math.min(MOST_CROWD, Math.max(1 / MOST_CROWD, s.crowd / meanCrowd)) : 1);
+        double relativeTime = server.weight == meanWeight ? measured
+                : measured > 1 ? Math.max(measured, meanWeight / server.weight) : meanWeight / server.weight;
+        return relativeTime * (server.reportsLoad
+                ? Math.min(MAX_LOAD_RATIO, Math.max(1 / MAX_LOAD_RATIO, server.answerLoad / meanAnswerLoad))
+                : 1);
     }
 
     /**
      * Records the load report of an answer. It is outdated when the server is next in the assignment order,
      * so it changes only the server's place there.
      */
-    private void loadTold(Backend s, LoadReport report) {
+    private void recordLoadReport(Backend server, LoadReport report) {
         if (report != null && report.inFlight() >= 0) {
-            s.reports = true;
-            s.crowd = 1 + report.inFlight();
-            meanCrowd += (s.crowd - meanCrowd) * (meanCrowd == 0 ? 1 : MEAN_WEIGHT);
+            server.reportsLoad = true;
+            server.answerLoad = 1 + report.inFlight();
+            meanAnswerLoad += (server.answerLoad - meanAnswerLoad) * (meanAnswerLoad == 0 ? 1 : MEAN_WEIGHT);
         }
     }
 
     @Override
     public void discoveryFailed(long nowUs) {
-        watching = false;
-        long pause = ASK_AGAIN_US << Math.min(askFailures++, 6);
-        long maxIntervalUs = settings.rules().maxDiscoveryIntervalUs();
-        long most = maxIntervalUs > 0 ? maxIntervalUs / 4 : pause;
-        askAtUs = nowUs + NEW_WATCH_US + (long) (Math.min(pause, most) * random.nextDouble());
-        advance(nowUs);
+        isWatching = false;
+        long pauseUs = WATCH_RETRY_JITTER_US << Math.min(discoveryFailures++, 6);
+        long maxPauseUs = settings.rules().maxDiscoveryIntervalUs() > 0
+                ? settings.rules().maxDiscoveryIntervalUs() / 4 : pauseUs;
+        discoveryQueryAtUs = nowUs + WATCH_RETRY_DELAY_US
+                + (long) (Math.min(pauseUs, maxPauseUs) * random.nextDouble());
+        runDueWork(nowUs);
     }
 
     // ---- state shared by the fleet
@@ -466,83 +476,87 @@
      */
     @Override
     public void peerVerdict(long nowUs, String id, Verdict verdict, long untilUs) {
-        Backend s = byId.get(id);
-        if (s == null) {
+        Backend server = serversById.get(id);
+        if (server == null) {
             return;
         }
-        boolean well = s.failures == 0 && s.silences == 0;
+        boolean isHealthy = server.connectionFailures == 0 && server.unansweredCalls == 0;
         if (untilUs <= nowUs) {
-            s.demotedUntilUs = well && verdict == Verdict.DEMOTED ? Long.MIN_VALUE : s.demotedUntilUs;
-        } else if (verdict == Verdict.RESTS && !(well && s.callSeenUs > nowUs - FAIL_TIMEOUT_US)
-                && mostStay(nowUs)) {
-            s.restUntilUs = Math.max(s.restUntilUs, untilUs);
+            server.demotedUntilUs =
+                    isHealthy && verdict == Verdict.DEMOTED ? Long.MIN_VALUE : server.demotedUntilUs;
+        } else if (verdict == Verdict.RESTS
+                && !(isHealthy && server.lastMeasuredAtUs > nowUs - FAILURE_PENALTY_US)
+                && canEjectOneMore(nowUs)) {
+            server.ejectedUntilUs = Math.max(server.ejectedUntilUs, untilUs);
         } else {
-            s.demotedUntilUs = Math.max(s.demotedUntilUs, Math.min(untilUs, nowUs + FAIL_TIMEOUT_US));
+            server.demotedUntilUs =
+                    Math.max(server.demotedUntilUs, Math.min(untilUs, nowUs + FAILURE_PENALTY_US));
         }
-        advance(nowUs);
+        runDueWork(nowUs);
     }
 
     @Override
-    public void serverBudgetChanged(long nowUs, String id, long left, long untilUs) {
-        BudgetShare budget = untilUs == 0 ? null : new BudgetShare(left, untilUs);
-        serverBudgets.compute(id, (key, before) -> budget);
-        if (byId.containsKey(id)) {
-            byId.get(id).budget = budget;
-            advance(nowUs);
+    public void serverBudgetChanged(long nowUs, String id, long tokens, long untilUs) {
+        BudgetShare budget = untilUs == 0 ? null : new BudgetShare(tokens, untilUs);
+        serverBudgets.compute(id, (key, previous) -> budget);
+        if (serversById.containsKey(id)) {
+            serversById.get(id).budget = budget;
+            runDueWork(nowUs);
         }
     }
 
     @Override
-    public void classBudgetChanged(long nowUs, int requestClass, long left, long untilUs) {
-        classBudgets[requestClass] = new BudgetShare(left, untilUs);
+    public void classBudgetChanged(long nowUs, int requestClass, long tokens, long untilUs) {
+        classBudgets[requestClass] = new BudgetShare(tokens, untilUs);
     }
 
     @Override
     public void affinityChanged(long nowUs, int requestClass, Collection<String> ids) {
-        affinities.set(requestClass, List.copyOf(ids));
+        preferredServers.set(requestClass, List.copyOf(ids));
     }
 
     /** Takes a request from this copy's share of its class's budget; returns true if that is used up. */
-    private boolean beyondBudget(long nowUs, int requestClass) {
+    private boolean isBeyondClassBudget(long nowUs, int requestClass) {
         BudgetShare budget = classBudgets[requestClass];
-        boolean taken = budget == null || budget.take(nowUs);
+        boolean granted = budget == null || budget.tryTake(nowUs);
         if (budget != null) {
-            actions.reportClassBudgetUse(requestClass, taken);
+            actions.reportClassBudgetUse(requestClass, granted);
         }
-        return !taken;
+        return !granted;
     }
 
     // ---- requests and their attempts
 
     @Override
     public void request(long nowUs, Request request) {
-        RequestClass kind = settings.classes().get(request.requestClass());
-        double size = 1;
+        RequestClass requestClass = settings.classes().get(request.requestClass());
+        double relativeWork = 1;
         if (request.workUs() > 0) {
-            workUs += (request.workUs() - workUs) * (workUs == 0 ? 1 : MEAN_WEIGHT / 2);
-            size = request.workUs() / workUs;
-        } else if (kindUs[request.requestClass()] > 0) {
-            size = kindUs[request.requestClass()] / anyUs;
+            meanWorkUs += (request.workUs() - meanWorkUs) * (meanWorkUs == 0 ? 1 : MEAN_WEIGHT / 2);
+            relativeWork = request.workUs() / meanWorkUs;
+        } else if (meanDurationByClassUs[request.requestClass()] > 0) {
+            relativeWork = meanDurationByClassUs[request.requestClass()] / meanDurationUs;
         }
-        size = size > 1 ? 1 + (size - 1) * HOPE : size;
-        long usefulUs = kind.lateWorth() > 0 ? kind.deadlineUs() : kind.aimUs();
+        relativeWork = relativeWork > 1 ? 1 + (relativeWork - 1) * EXTRA_WORK_WEIGHT : relativeWork;
+        long usefulUs = requestClass.lateWorth() > 0 ? requestClass.deadlineUs() : requestClass.aimUs();
         if (!request.isClientRetry()) {
-            firstTryUs = request.timeLeftUs();
-        } else if (Math.abs(request.timeLeftUs() - firstTryUs) > settings.tickUs() * 10) {
+            firstTryTimeLeftUs = request.timeLeftUs();
+        } else if (Math.abs(request.timeLeftUs() - firstTryTimeLeftUs) > settings.tickUs() * 10) {
             // The aim counts from the first try, and a client's last try has all of its remaining time.
-            usefulUs -= kind.deadlineUs() - request.timeLeftUs();
+            usefulUs -= requestClass.deadlineUs() - request.timeLeftUs();
         }
-        Call call = new Call(request, kind, nowUs, nowUs + Math.min(request.timeLeftUs(), usefulUs), size);
-        if (overloaded(nowUs) || beyondBudget(nowUs, request.requestClass())) {
+        Call call = new Call(request, requestClass, nowUs, nowUs + Math.min(request.timeLeftUs(), usefulUs),
+                relativeWork);
+        if (isRefusedForCongestion(nowUs) || isBeyondClassBudget(nowUs, request.requestClass())) {
             giveUp(nowUs, call);
             return;
         }
-        call.beyondShare = beyondShare(nowUs, request.tenant());
-        nextReturnKnown = false;
-        calls.put(request.id(), call);
-        retries = Math.min(RETRY_SAVED, retries + RETRY_EARNED);
-        probes = Math.min(probes + probesEarned, probesEarned * PROBE_ROUNDS);
-        dispatch(nowUs, call);
+        call.isBeyondQuota = isBeyondQuota(nowUs, request.tenant());
+        isNextAvailableKnown = false;
+        callsById.put(request.id(), call);
+        retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
+        probeTokens = Math.min(probeTokens + probesPerCall, probesPerCall * MAX_PROBE_ROUNDS);
+        sendOrQueue(nowUs, call);
     }
 
     /**
@@ -551,20 +565,22 @@
      * only about as many calls are admitted as are served; each copy that detects congestion limits its own
      * calls.
      */
-    private boolean overloaded(long nowUs) {
-        while (!pending.isEmpty() && (pending.peek().ended || pending.peek().endAtUs <= nowUs)) {
-            tally.count(nowUs, pending.poll(), false);
-        }
-        tally.age(nowUs);
-        double excess = tally.tried() - BEGUN_PER_SERVED * tally.served() - BEGUN_FREE;
-        boolean refused = excess > 0 && random.nextDouble() * tally.tried() < excess;
-        tally.countRefused(refused);
-        if (jam ? excess <= 0 : excess > tally.tried() / 2) {
-            jam = !jam;
-            actions.log(jam ? "congestion: too few calls are served in time, calls are refused"
+    private boolean isRefusedForCongestion(long nowUs) {
+        while (!uncountedCalls.isEmpty()
+                && (uncountedCalls.peek().hasEnded || uncountedCalls.peek().usefulUntilUs <= nowUs)) {
+            recentCalls.countEnded(nowUs, uncountedCalls.poll(), false);
+        }
+        recentCalls.decayTo(nowUs);
+        double excess = recentCalls.total() - ADMITTED_PER_SERVED * recentCalls.servedInTime()
+                - ADMITTED_EXTRA_CALLS;
+        boolean isRefused = excess > 0 && random.nextDouble() * recentCalls.total() < excess;
+        recentCalls.countRefused(isRefused);
+        if (isCongested ? excess <= 0 : excess > recentCalls.total() / 2) {
+            isCongested = !isCongested;
+            actions.log(isCongested ? "congestion: too few calls are served in time, calls are refused"
                     : "congestion has cleared");
         }
-        return refused;
+        return isRefused;
     }
 
     /**
@@ -573,47 +589,49 @@
      * given up, as to a copy with few calls servers look idle until they are overloaded. Below the first tier
      * no request is given up for its quota, as work was already done for it.
      */
-    private boolean beyondShare(long nowUs, int tenant) {
-        if (settings.tier() > 0 || settings.overQuotaWorth() >= 1 || tenant >= sharesAtUs.length) {
+    private boolean isBeyondQuota(long nowUs, int tenant) {
+        if (settings.tier() > 0 || settings.overQuotaWorth() >= 1 || tenant >= quotaUsedUntilUs.length) {
             return false;
         }
-        double quota = settings.tenants().get(tenant).quotaPerSecond() / settings.copies();
-        if (quota > 0 && sharesAtUs[tenant] > nowUs + SHARE_SAVED * 1e6 / quota) {
+        double copyQuotaPerSecond = settings.tenants().get(tenant).quotaPerSecond() / settings.copies();
+        if (copyQuotaPerSecond > 0
+                && quotaUsedUntilUs[tenant] > nowUs + TENANT_BURST_REQUESTS * 1e6 / copyQuotaPerSecond) {
             return true;
         }
-        sharesAtUs[tenant] = Math.max(sharesAtUs[tenant], nowUs) + (quota > 0 ? 1e6 / quota : 0);
+        quotaUsedUntilUs[tenant] = Math.max(quotaUsedUntilUs[tenant], nowUs)
+                + (copyQuotaPerSecond > 0 ? 1e6 / copyQuotaPerSecond : 0);
         return false;
     }
 
     /** Sends a call to the best server, queues it if none can be used now, or gives it up. */
-    private void dispatch(long nowUs, Call call) {
+    private void sendOrQueue(long nowUs, Call call) {
         // While the call was queued, the dedup window of its idempotency key may have passed.
-        long leftUs = call.leftUs(nowUs);
-        if (leastUs(call) > leftUs || leftUs <= 0
-                || !call.attempts.isEmpty() && !mayRepeat(nowUs, call)) {
-            if (!call.held) {
+        long timeLeftUs = call.timeLeftUs(nowUs);
+        if (minExpectedUs(call) > timeLeftUs || timeLeftUs <= 0
+                || !call.attempts.isEmpty() && !canRepeat(nowUs, call)) {
+            if (!call.wasQueued) {
                 // Without this, one slow period could have all later calls given up, with none measured.
-                quickUs *= 1 - QUICK_STEP * QUICK;
+                fastCallUs *= 1 - FAST_QUANTILE_STEP * FAST_QUANTILE;
             }
             giveUp(nowUs, call);
             return;
         }
-        Backend s = probesEarned > 0 ? pick(nowUs, call, true) : null;
-        if (s == null && asks(nowUs, call)) {
-            waiting.add(call);
-            wake(Math.min(call.probeUntilUs, call.endAtUs));
+        Backend server = probesPerCall > 0 ? chooseServer(nowUs, call, true) : null;
+        if (server == null && mustWaitForProbes(nowUs, call)) {
+            queuedCalls.add(call);
+            requestWakeUp(Math.min(call.waitsForProbesUntilUs, call.usefulUntilUs));
             return;
         }
-        s = s == null ? pick(nowUs, call, false) : s;
-        if (call.beyondShare && (probesEarned == 0 || s == null || load(nowUs, s) > 0)) {
+        server = server == null ? chooseServer(nowUs, call, false) : server;
+        if (call.isBeyondQuota && (probesPerCall == 0 || server == null || load(nowUs, server) > 0)) {
             giveUp(nowUs, call);
-        } else if (s == null) {
-            call.held = !call.uploading;
+        } else if (server == null) {
+            call.wasQueued = !call.isUploading;
             call.probeRounds = 0;
-            waiting.add(call);
-            wake(Math.min(nextReturn(nowUs), nowUs + leftUs - (long) leastUs(call)));
+            queuedCalls.add(call);
+            requestWakeUp(Math.min(nextAvailableUs(nowUs), nowUs + timeLeftUs - (long) minExpectedUs(call)));
         } else {
-            send(nowUs, call, s);
+            send(nowUs, call, server);
         }
     }
 
@@ -624,135 +642,145 @@
      * the call. Calls wait only where probes are cheap and fast. While they are slow, one is sent along with
      * each call, as nothing else would show that they are fast again.
      */
-    private boolean asks(long nowUs, Call call) {
-        boolean quick = probeUs <= call.kind.aimUs() * PROBE_SHARE_OF_AIM;
-        if (probesEarned == 0 || nowUs < call.probeUntilUs) {
-            return probesEarned > 0 && quick;
-        }
-        int sent = 0;
-        int atOnce = reportedLoad < LIGHT_LOAD || !quick ? 1 : PROBES_AT_ONCE;
-        while (call.probeRounds < PROBE_ROUNDS && sent < atOnce && probes >= 1) {
-            Backend s = best(nowUs, order.subset(), b -> b.probedAtUs == Long.MIN_VALUE
-                    && b.reportUntilUs <= nowUs && open(nowUs, call, b));
-            if (s == null) {
+    private boolean mustWaitForProbes(long nowUs, Call call) {
+        boolean areProbesFast = meanProbeUs <= call.requestClass.aimUs() * MAX_PROBE_SHARE_OF_AIM;
+        if (probesPerCall == 0 || nowUs < call.waitsForProbesUntilUs) {
+            return probesPerCall > 0 && areProbesFast;
+        }
+        int probesSent = 0;
+        int roundSize = meanProbedLoad < LIGHT_LOAD_CALLS || !areProbesFast ? 1 : PROBES_PER_ROUND;
+        while (call.probeRounds < MAX_PROBE_ROUNDS && probesSent < roundSize && probeTokens >= 1) {
+            Backend server = bestAllowed(nowUs, assignmentOrder.subset(),
+                    b -> b.probeSentAtUs == Long.MIN_VALUE && b.reportedLoadUntilUs <= nowUs
+                            && isAvailableFor(nowUs, call, b));
+            if (server == null) {
                 break;
             }
-            s.probedAtUs = nowUs;
-            probes--;
-            sent++;
-            actions.probe(s.id);
+            server.probeSentAtUs = nowUs;
+            probeTokens--;
+            probesSent++;
+            actions.probe(server.id);
         }
         call.probeRounds++;
-        call.probeUntilUs = nowUs + (long) (OVERDUE * probeUs) + settings.tickUs();
-        return quick && sent > 0;
+        call.waitsForProbesUntilUs = nowUs + (long) (PROBE_TIMEOUT_MULTIPLE * meanProbeUs)
+                + settings.tickUs();
+        return areProbesFast && probesSent > 0;
     }
 
-    private void send(long nowUs, Call call, Backend s) {
-        if (lastSendUs != Long.MIN_VALUE) {
-            long gap = nowUs - lastSendUs;
-            gapUs += (gap - gapUs) * (gapUs == 0 ? 1 : MEAN_WEIGHT);
+    private void send(long nowUs, Call call, Backend server) {
+        if (lastSentAtUs != Long.MIN_VALUE) {
+            long sendGapUs = nowUs - lastSentAtUs;
+            meanSendGapUs += (sendGapUs - meanSendGapUs) * (meanSendGapUs == 0 ? 1 : MEAN_WEIGHT);
         }
-        lastSendUs = nowUs;
-        Attempt attempt = new Attempt(call, s, nowUs, load(nowUs, s) + call.size,
-                probesEarned == 0 || s.reportUntilUs > nowUs);
-        if (call.attempts.isEmpty() && !call.uploading) {
-            pending.add(call);
+        lastSentAtUs = nowUs;
+        Attempt attempt = new Attempt(call, server, nowUs, load(nowUs, server) + call.relativeWork,
+                probesPerCall == 0 || server.reportedLoadUntilUs > nowUs);
+        if (call.attempts.isEmpty() && !call.isUploading) {
+            uncountedCalls.add(call);
         }
         call.attempts.add(attempt);
-        if (!call.uploading) {
-            begin(nowUs, attempt);
+        if (!call.isUploading) {
+            startWork(nowUs, attempt);
         }
-        call.out++;
-        if (s.budget != null) {
-            actions.reportServerBudgetUse(s.id, s.budget.take(nowUs));
+        call.attemptsInFlight++;
+        if (server.budget != null) {
+            actions.reportServerBudgetUse(server.id, server.budget.tryTake(nowUs));
         }
-        double late = Math.min(paceUs() * (slowness(s) / s.part - 1), MOST_LATE_US);
-        late += settings.crossZonePrice() > 0 && s.zone != settings.zone() ? paceUs() * FAR_ROUNDS : 0;
-        order.place(s, nowUs + (long) late);
-        s.entryFromUs = nowUs;
-        s.entryByUs = Long.MAX_VALUE;
-        s.entryTurns = turnUs(s, nowUs) > paceUs() / s.part ? 0.5 + random.nextDouble() : 0;
-        actions.send(call.request.id(), s.id, call.deadlineUs - nowUs);
+        double delayUs = Math.min(roundUs() * (slowness(server) / server.subsetShare - 1),
+                MAX_ASSIGNMENT_DELAY_US);
+        delayUs += settings.crossZonePrice() > 0 && server.zone != settings.zone()
+                ? roundUs() * CROSS_ZONE_DELAY_ROUNDS : 0;
+        assignmentOrder.put(server, nowUs + (long) delayUs);
+        server.waitFromUs = nowUs;
+        server.firstUseByUs = Long.MAX_VALUE;
+        server.waitIntervals = assignmentIntervalUs(server, nowUs) > roundUs() / server.subsetShare
+                ? 0.5 + random.nextDouble() : 0;
+        actions.send(call.request.id(), server.id, call.deadlineUs - nowUs);
     }
 
     /** Marks that the server works on an attempt from now on, and sets when the attempt counts as stalled. */
-    private void begin(long nowUs, Attempt attempt) {
-        attempt.work();
-        if (callUs > 0) {
-            attempt.overdueAtUs = nowUs + (long) (CALL_OVERDUE * callUs * attempt.ahead);
-            sent.add(attempt);
-            wake(sent.peek().overdueAtUs);
+    private void startWork(long nowUs, Attempt attempt) {
+        attempt.startWork();
+        if (meanCallUs > 0) {
+            attempt.stalledAtUs = nowUs + (long) (STALL_MULTIPLE * meanCallUs * attempt.serverLoad);
+            startedAttempts.add(attempt);
+            requestWakeUp(startedAttempts.peek().stalledAtUs);
         }
     }
 
     @Override
     public void uploadCompleted(long nowUs, String id) {
-        Call call = calls.get(id);
-        if (call == null || !call.uploading) {
+        Call call = callsById.get(id);
+        if (call == null || !call.isUploading) {
             return;
         }
-        call.uploaded(nowUs);
-        if (!call.attempts.isEmpty() && !call.ended) {
-            pending.add(call);
+        call.uploadCompleted(nowUs);
+        if (!call.attempts.isEmpty() && !call.hasEnded) {
+            uncountedCalls.add(call);
         }
-        call.attempts.stream().filter(a -> a.out && !a.answering).forEach(a -> begin(nowUs, a));
-        advance(nowUs);
+        call.attempts.stream().filter(a -> a.isInFlight && !a.isAnswering).forEach(a -> startWork(nowUs, a));
+        runDueWork(nowUs);
     }
 
     @Override
     public void bodyDiscarded(long nowUs, String id) {
-        Call call = calls.get(id);
+        Call call = callsById.get(id);
         if (call != null) {
-            call.spent = true;
+            call.isBodyDiscarded = true;
         }
     }
 
     /**
-     * Returns the best server that the call may use, or null. With {@code found} only the preferred servers
-     * of its class and those that a probe found idle are considered.
+     * Returns the best server that the call may use, or null. With {@code onlyIdle} only the preferred
+     * servers of its class and those that a probe found idle are considered.
      */
-    private Backend pick(long nowUs, Call call, boolean found) {
-        Collection<String> first = affinities.get(call.request.requestClass());
-        Backend best = first.isEmpty() ? null : best(nowUs, order.all(), s -> first.contains(s.id)
-                && load(nowUs, s) == 0 && !demoted(nowUs, s) && usable(nowUs, call, s));
-        if (best == null && found) {
-            return bestFoundIdle(nowUs, call);
+    private Backend chooseServer(long nowUs, Call call, boolean onlyIdle) {
+        Collection<String> preferred = preferredServers.get(call.request.requestClass());
+        Backend best = preferred.isEmpty() ? null
+                : bestAllowed(nowUs, assignmentOrder.all(), server -> preferred.contains(server.id)
+                        && load(nowUs, server) == 0 && !isDemoted(nowUs, server)
+                        && canServeInTime(nowUs, call, server));
+        if (best == null && onlyIdle) {
+            return bestProbedIdle(nowUs, call);
         }
         if (best == null) {
-            best = best(nowUs, order.subset(), s -> usable(nowUs, call, s));
+            best = bestAllowed(nowUs, assignmentOrder.subset(),
+                    server -> canServeInTime(nowUs, call, server));
         }
         if (best == null && subset.size() < servers.size()) {
             // A cold server outside the subset is not used: calls of all copies together would overload it.
-            best = best(nowUs, order.all(), s -> share(s, nowUs) == 1 && usable(nowUs, call, s));
+            best = bestAllowed(nowUs, assignmentOrder.all(),
+                    server -> capacityShare(server, nowUs) == 1 && canServeInTime(nowUs, call, server));
         }
         return best;
     }
 
     /** Returns the best server that a probe found idle and that got no call since, or null. */
-    private Backend bestFoundIdle(long nowUs, Call call) {
-        foundIdle.removeIf(s -> s.reportUntilUs <= nowUs || s.reported > 0);
+    private Backend bestProbedIdle(long nowUs, Call call) {
+        probedIdle.removeIf(server -> server.reportedLoadUntilUs <= nowUs || server.reportedLoad > 0);
         Backend best = null;
-        for (Backend s : foundIdle) {
-            boolean idle = s.inSubset && load(nowUs, s) == 0 && !demoted(nowUs, s);
-            if (idle && usable(nowUs, call, s) && (best == null || better(nowUs, s, best))) {
-                best = s;
+        for (Backend server : probedIdle) {
+            boolean isIdle = server.isInSubset && load(nowUs, server) == 0 && !isDemoted(nowUs, server);
+            if (isIdle && canServeInTime(nowUs, call, server)
+                    && (best == null || isBetter(nowUs, server, best))) {
+                best = server;
             }
         }
         return best;
     }
 
     /** Returns the best allowed server, or null. The servers must come in assignment order. */
-    private Backend best(long nowUs, Iterable<Backend> inOrder, Predicate<Backend> allowed) {
+    private Backend bestAllowed(long nowUs, Iterable<Backend> candidates, Predicate<Backend> allowed) {
         Backend best = null;
-        for (Backend s : inOrder) {
+        for (Backend server : candidates) {
             serversExamined++;
-            if (!allowed.test(s)) {
+            if (!allowed.test(server)) {
                 continue;
             }
-            if (unbeatable(nowUs, s)) {
-                return best == null || better(nowUs, s, best) ? s : best;
+            if (isIdleAndHealthy(nowUs, server)) {
+                return best == null || isBetter(nowUs, server, best) ? server : best;
             }
-            best = best == null || better(nowUs, s, best) ? s : best;
+            best = best == null || isBetter(nowUs, server, best) ? server : best;
         }
         return best;
     }
@@ -763,78 +791,88 @@
     }
 
     /** Returns whether no server later in the assignment order can be better. */
-    private boolean unbeatable(long nowUs, Backend s) {
-        return load(nowUs, s) == 0 && s.unanswered + s.silences == 0 && !demoted(nowUs, s);
+    private boolean isIdleAndHealthy(long nowUs, Backend server) {
+        return load(nowUs, server) == 0 && server.unansweredProbes + server.unansweredCalls == 0
+                && !isDemoted(nowUs, server);
     }
 
-    private boolean usable(long nowUs, Call call, Backend s) {
+    private boolean canServeInTime(long nowUs, Call call, Backend server) {
         // An idle server is never ruled out as too slow: without calls, its recovery would not be seen.
-        return open(nowUs, call, s)
-                && (assumedLoad(nowUs, s) == 0
-                        || expectedUs(nowUs, call, s) <= call.leftUs(nowUs) * CROWD);
+        return isAvailableFor(nowUs, call, server)
+                && (assumedLoad(nowUs, server) == 0
+                        || expectedCallUs(nowUs, call, server)
+                                <= call.timeLeftUs(nowUs) * MAX_SHARE_OF_TIME_LEFT);
     }
 
-    private boolean open(long nowUs, Call call, Backend s) {
-        return opensAtUs(nowUs, s) <= nowUs && mayUse(call, s) && affordable(nowUs, s);
+    private boolean isAvailableFor(long nowUs, Call call, Backend server) {
+        return availableAtUs(nowUs, server) <= nowUs && isAllowedFor(call, server)
+                && hasBudget(nowUs, server);
     }
 
-    private boolean affordable(long nowUs, Backend s) {
-        boolean any = s.budget == null || s.budget.any(nowUs);
-        if (!any) {
-            actions.reportServerBudgetUse(s.id, false);
+    private boolean hasBudget(long nowUs, Backend server) {
+        boolean hasTokens = server.budget == null || server.budget.hasTokens(nowUs);
+        if (!hasTokens) {
+            actions.reportServerBudgetUse(server.id, false);
         }
-        return any;
+        return hasTokens;
     }
 
     /**
      * Returns when a server may be used: after its ejection, and after the delay for cold and new servers.
      * For a cold server that delay follows from its capacity half-way between its last call and now.
      */
-    private long opensAtUs(long nowUs, Backend s) {
-        long atUs = share(s, nowUs) < 1 ? s.entryFromUs + (nowUs - s.entryFromUs) / 2 : nowUs;
-        long entryAtUs = s.entryTurns == 0 ? nowUs : s.entryFromUs + (long) (s.entryTurns * turnUs(s, atUs));
-        return Math.max(s.restUntilUs, Math.min(s.entryByUs, entryAtUs));
+    private long availableAtUs(long nowUs, Backend server) {
+        long atUs = capacityShare(server, nowUs) < 1 ? server.waitFromUs + (nowUs - server.waitFromUs) / 2
+                : nowUs;
+        long entryAtUs = server.waitIntervals == 0 ? nowUs
+                : server.waitFromUs + (long) (server.waitIntervals * assignmentIntervalUs(server, atUs));
+        return Math.max(server.ejectedUntilUs, Math.min(server.firstUseByUs, entryAtUs));
     }
 
-    /** Returns the expected duration of a call at a server; too slow or busy a server is not used for it. */
-    private double expectedUs(long nowUs, Call call, Backend s) {
-        boolean known = s.callSeenUs != Long.MIN_VALUE && nowUs - s.callSeenUs < FAIL_TIMEOUT_US;
-        double usual = callUs / share(s, nowUs);
-        double each = known ? s.callUs() : s.ahead > 0 ? Math.min(s.callUs(), usual) : usual;
-        return each * (assumedLoad(nowUs, s) + call.size * HOPE);
+    /** Returns the expected duration of a call at a server, from its speed and its assumed load. */
+    private double expectedCallUs(long nowUs, Call call, Backend server) {
+        boolean isRecent = server.lastMeasuredAtUs != Long.MIN_VALUE
+                && nowUs - server.lastMeasuredAtUs < FAILURE_PENALTY_US;
+        double usualUs = meanCallUs / capacityShare(server, nowUs);
+        double perCallUs = isRecent ? server.meanCallUs()
+                : server.loadSum > 0 ? Math.min(server.meanCallUs(), usualUs) : usualUs;
+        return perCallUs * (assumedLoad(nowUs, server) + call.relativeWork * EXTRA_WORK_WEIGHT);
     }
 
-    private int assumedLoad(long nowUs, Backend s) {
-        return s.reportUntilUs > nowUs ? load(nowUs, s) : Math.max(s.inFlight, (int) reportedLoad);
+    private int assumedLoad(long nowUs, Backend server) {
+        return server.reportedLoadUntilUs > nowUs ? load(nowUs, server)
+                : Math.max(server.attemptsInFlight, (int) meanProbedLoad);
     }
 
     /** Returns the calls in flight: this copy's own, or all copies' where a valid load report tells more. */
-    private static int load(long nowUs, Backend s) {
-        return s.reportUntilUs > nowUs ? Math.max(s.inFlight, s.reported) : s.inFlight;
+    private static int load(long nowUs, Backend server) {
+        return server.reportedLoadUntilUs > nowUs ? Math.max(server.attemptsInFlight, server.reportedLoad)
+                : server.attemptsInFlight;
     }
 
     /** Returns the minimum expected duration of the call; 0 while too few calls were measured. */
-    private double leastUs(Call call) {
-        return timed < 1 / QUICK ? 0 : (call.held ? callUs * HELD_MARGIN : quickUs) * call.size;
+    private double minExpectedUs(Call call) {
+        return measuredCalls < 1 / FAST_QUANTILE ? 0
+                : (call.wasQueued ? meanCallUs * QUEUED_CALL_MARGIN : fastCallUs) * call.relativeWork;
     }
 
     /**
      * Returns whether {@code a} is chosen before {@code b}. Servers that are idle and not demoted go first;
      * then, demoted or not, those with the fewest calls in flight; among equals the least recently assigned.
      */
-    private boolean better(long nowUs, Backend a, Backend b) {
+    private boolean isBetter(long nowUs, Backend a, Backend b) {
         int loadA = load(nowUs, a);
         int loadB = load(nowUs, b);
-        boolean idleA = loadA == 0 && !demoted(nowUs, a);
-        boolean idleB = loadB == 0 && !demoted(nowUs, b);
+        boolean idleA = loadA == 0 && !isDemoted(nowUs, a);
+        boolean idleB = loadB == 0 && !isDemoted(nowUs, b);
         if (idleA != idleB) {
             return idleA;
         }
         // A server unreachable from this copy has none of its calls in flight. Counting its unanswered calls
         // and probes as load keeps it from getting all calls that the other servers have no room for.
-        loadA += Math.min(SILENCES, a.unanswered + a.silences);
-        loadB += Math.min(SILENCES, b.unanswered + b.silences);
-        return loadA != loadB ? loadA < loadB : a.turnAtUs < b.turnAtUs;
+        loadA += Math.min(EJECTION_UNANSWERED, a.unansweredProbes + a.unansweredCalls);
+        loadB += Math.min(EJECTION_UNANSWERED, b.unansweredProbes + b.unansweredCalls);
+        return loadA != loadB ? loadA < loadB : a.assignedAtUs < b.assignedAtUs;
     }
 
     /**
@@ -842,34 +880,35 @@
      * probed as the least recently assigned, so that the call would otherwise go to a server that is stalled
      * or unreachable.
      */
-    private boolean demoted(long nowUs, Backend s) {
-        return s.demotedUntilUs > nowUs
-                || s.probedAtUs != Long.MIN_VALUE && nowUs - s.probedAtUs > OVERDUE * probeUs;
+    private boolean isDemoted(long nowUs, Backend server) {
+        return server.demotedUntilUs > nowUs
+                || server.probeSentAtUs != Long.MIN_VALUE
+                        && nowUs - server.probeSentAtUs > PROBE_TIMEOUT_MULTIPLE * meanProbeUs;
     }
 
     /** Returns false for a server that the call was sent to before, or that would not drop its repeat. */
-    private static boolean mayUse(Call call, Backend s) {
+    private static boolean isAllowedFor(Call call, Backend server) {
         for (Attempt a : call.attempts) {
-            if (a.server == s) {
+            if (a.server == server) {
                 return false;
             }
         }
-        Attempt mayHaveRun = mayHaveRun(call);
-        if (mayHaveRun == null || call.kind.effect() == Effect.SAFE) {
+        Attempt possiblyRun = firstPossiblyRun(call);
+        if (possiblyRun == null || call.requestClass.effect() == Effect.SAFE) {
             return true;
         }
-        Backend first = mayHaveRun.server;
-        return switch (call.kind.group()) {
+        Backend firstServer = possiblyRun.server;
+        return switch (call.requestClass.group()) {
             case ALL -> true;
-            case ZONE -> s.zone == first.zone;
-            case CELL -> s.zone == first.zone && s.group == first.group;
+            case ZONE -> server.zone == firstServer.zone;
+            case CELL -> server.zone == firstServer.zone && server.group == firstServer.group;
         };
     }
 
     /** Returns the first attempt that may have run or may still be running, or null. */
-    private static Attempt mayHaveRun(Call call) {
+    private static Attempt firstPossiblyRun(Call call) {
         for (Attempt a : call.attempts) {
-            if (!a.provedNotRun) {
+            if (!a.isProvedNotRun) {
                 return a;
             }
         }
@@ -877,143 +916,151 @@
     }
 
     /** Returns whether a further attempt of the call is allowed. */
-    private boolean mayRepeat(long nowUs, Call call) {
-        if (call.spent || call.attempts.size() >= settings.limits().maxAttempts() || call.leftUs(nowUs) <= 0
-                || call.out > 0 && !settings.limits().canHedge()) {
+    private boolean canRepeat(long nowUs, Call call) {
+        if (call.isBodyDiscarded || call.attempts.size() >= settings.limits().maxAttempts()
+                || call.timeLeftUs(nowUs) <= 0
+                || call.attemptsInFlight > 0 && !settings.limits().canHedge()) {
             return false;
         }
-        Attempt mayHaveRun = mayHaveRun(call);
-        return mayHaveRun == null || switch (call.kind.effect()) {
+        Attempt possiblyRun = firstPossiblyRun(call);
+        return possiblyRun == null || switch (call.requestClass.effect()) {
             case SAFE -> true;
-            case KEYED -> nowUs - mayHaveRun.sentAtUs < call.kind.dedupWindowUs();
+            case KEYED -> nowUs - possiblyRun.sentAtUs < call.requestClass.dedupWindowUs();
             case UNSAFE -> false;
         };
     }
 
     @Override
-    public void outcome(long nowUs, String id, int number, String server, Outcome outcome, long elapsedUs,
-            boolean ended, LoadReport report) {
-        Call call = calls.get(id);
-        if (call == null || number >= call.attempts.size() || !call.attempts.get(number).out) {
+    public void outcome(long nowUs, String id, int attemptNumber, String server, Outcome outcome,
+            long elapsedUs, boolean ended, LoadReport report) {
+        Call call = callsById.get(id);
+        if (call == null || attemptNumber >= call.attempts.size()
+                || !call.attempts.get(attemptNumber).isInFlight) {
             return;
         }
-        Attempt attempt = call.attempts.get(number);
-        attempt.out = false;
-        call.out--;
-        loadTold(attempt.server, report);
-        if (attempt.answering) {
+        Attempt attempt = call.attempts.get(attemptNumber);
+        attempt.isInFlight = false;
+        call.attemptsInFlight--;
+        recordLoadReport(attempt.server, report);
+        if (attempt.isAnswering) {
             if (outcome == Outcome.RESET) {
-                judge(nowUs, attempt.server, outcome);
+                updateFailures(nowUs, attempt.server, outcome);
             }
         } else {
-            attempt.done();
-            judge(nowUs, attempt.server, outcome);
-            learn(nowUs, attempt, outcome, elapsedUs);
+            attempt.endWork();
+            updateFailures(nowUs, attempt.server, outcome);
+            recordResult(nowUs, attempt, outcome, elapsedUs);
         }
-        attempt.provedNotRun = outcome.provesNotRun;
-        if (outcome == Outcome.TIMEOUT && !attempt.overdue) {
-            silent(nowUs, attempt.server);
+        attempt.isProvedNotRun = outcome.provesNotRun;
+        if (outcome == Outcome.TIMEOUT && !attempt.isStalled) {
+            recordUnansweredCall(nowUs, attempt.server);
         }
         if (ended) {
-            call.ended = true;
-            cancelRest(call);
+            call.hasEnded = true;
+            cancelAttempts(call);
         }
-        if (!call.ended && call.out == 0) {
-            again(nowUs, call, outcome);
+        if (!call.hasEnded && call.attemptsInFlight == 0) {
+            retryOrGiveUp(nowUs, call, outcome);
         }
-        forget(call);
-        advance(nowUs);
+        removeIfFinished(call);
+        runDueWork(nowUs);
     }
 
     /** Updates the measured durations and loads with the outcome of an attempt, and counts a served call. */
-    private void learn(long nowUs, Attempt attempt, Outcome outcome, long elapsedUs) {
+    private void recordResult(long nowUs, Attempt attempt, Outcome outcome, long elapsedUs) {
         Call call = attempt.call;
-        if ((outcome == Outcome.OK || outcome == Outcome.TIMEOUT) && (attempt.known || callUs == 0)) {
-            int kind = call.request.requestClass();
-            kindUs[kind] += (elapsedUs - kindUs[kind]) * (kindUs[kind] == 0 ? 1 : MEAN_WEIGHT / 2);
-            anyUs += (elapsedUs - anyUs) * (anyUs == 0 ? 1 : MEAN_WEIGHT / 2);
-            tookUs += elapsedUs - tookUs * MEAN_WEIGHT / 2;
-            ahead += attempt.ahead - ahead * MEAN_WEIGHT / 2;
-            double each = elapsedUs / attempt.ahead;
-            if (++timed <= 1 / QUICK) {
+        if ((outcome == Outcome.OK || outcome == Outcome.TIMEOUT)
+                && (attempt.isLoadKnown || meanCallUs == 0)) {
+            int classIndex = call.request.requestClass();
+            meanDurationByClassUs[classIndex] += (elapsedUs - meanDurationByClassUs[classIndex])
+                    * (meanDurationByClassUs[classIndex] == 0 ? 1 : MEAN_WEIGHT / 2);
+            meanDurationUs += (elapsedUs - meanDurationUs) * (meanDurationUs == 0 ? 1 : MEAN_WEIGHT / 2);
+            durationSumUs += elapsedUs - durationSumUs * MEAN_WEIGHT / 2;
+            loadSum += attempt.serverLoad - loadSum * MEAN_WEIGHT / 2;
+            double perCallUs = elapsedUs / attempt.serverLoad;
+            if (++measuredCalls <= 1 / FAST_QUANTILE) {
                 // With so few calls the fastest stands for the quantile.
-                quickUs = timed == 1 ? each : Math.min(quickUs, each);
+                fastCallUs = measuredCalls == 1 ? perCallUs : Math.min(fastCallUs, perCallUs);
             } else {
-                quickUs *= 1 + QUICK_STEP * (each < quickUs ? QUICK - 1 : QUICK);
+                fastCallUs *= 1 + FAST_QUANTILE_STEP
+                        * (perCallUs < fastCallUs ? FAST_QUANTILE - 1 : FAST_QUANTILE);
             }
             // The mean is capped, so that a few servers that take seconds do not dominate it.
-            callUs = Math.min(tookUs / ahead, USUAL * quickUs);
-            Backend s = attempt.server;
-            s.tookUs += elapsedUs - s.tookUs * MEAN_WEIGHT;
-            s.ahead += attempt.ahead - s.ahead * MEAN_WEIGHT;
-            s.callSeenUs = nowUs;
+            meanCallUs = Math.min(durationSumUs / loadSum, MAX_MEAN_TO_FAST_RATIO * fastCallUs);
+            Backend server = attempt.server;
+            server.durationSumUs += elapsedUs - server.durationSumUs * MEAN_WEIGHT;
+            server.loadSum += attempt.serverLoad - server.loadSum * MEAN_WEIGHT;
+            server.lastMeasuredAtUs = nowUs;
         } else if (outcome == Outcome.FULL) {
-            attempt.server.reported = FULL_LOAD;
-            attempt.server.reportUntilUs = nowUs + (long) (callUs * BUSY_HOLDS);
+            attempt.server.reportedLoad = FULL_SERVER_LOAD_CALLS;
+            attempt.server.reportedLoadUntilUs = nowUs + (long) (meanCallUs * BUSY_REPORT_VALIDITY);
         }
         if (outcome == Outcome.OK) {
-            countServed(nowUs);
-            if (nowUs <= call.endAtUs) {
-                tally.count(nowUs, call, true);
+            recordServed(nowUs);
+            if (nowUs <= call.usefulUntilUs) {
+                recentCalls.countEnded(nowUs, call, true);
             }
         }
     }
 
     /**
-     * Ejects a server with a far higher share of errors than the others: it answers at once, so that it
-     * always looks idle and gets more and more calls. Errors that all servers return alike come from a tier
-     * below, and no server is ejected for them.
+     * Updates the shares of errors with an answer, and ejects a server with a far higher share than the
+     * others: it answers at once, so that it always looks idle and gets more and more calls. Errors that
+     * all servers return alike come from a tier below, and no server is ejected for them.
      */
-    private void judgeErrors(long nowUs, Backend s, boolean error) {
-        s.errors += ERROR_WEIGHT * ((error ? 1 : 0) - s.errors);
-        errors += ERROR_WEIGHT * ERROR_WEIGHT * ((error ? 1 : 0) - errors);
-        if (!error) {
-            s.errorRests = s.errors < ERRORS / 2 ? 0 : s.errorRests;
-        } else if (s.errors > ERRORS && s.errors > 2 * errors && mostStay(nowUs)) {
-            rest(nowUs, s, s.errorRests++, "has a higher share of errors than the others");
-            s.errors = ERRORS;
+    private void updateErrorShare(long nowUs, Backend server, boolean isError) {
+        server.errorShare += ERROR_MEAN_WEIGHT * ((isError ? 1 : 0) - server.errorShare);
+        errorShare += ERROR_MEAN_WEIGHT * ERROR_MEAN_WEIGHT * ((isError ? 1 : 0) - errorShare);
+        if (!isError) {
+            server.errorEjections = server.errorShare < EJECTION_ERROR_SHARE / 2 ? 0 : server.errorEjections;
+        } else if (server.errorShare > EJECTION_ERROR_SHARE && server.errorShare > 2 * errorShare
+                && canEjectOneMore(nowUs)) {
+            eject(nowUs, server, server.errorEjections++, "has a higher share of errors than the others");
+            server.errorShare = EJECTION_ERROR_SHARE;
         }
     }
 
     /**
-     * Updates a server's share of errors and its connection failures with the outcome of an attempt. Only
-     * connections that fail or break are failures.
+     * Updates a server's share of errors and its connection failures with the outcome of an attempt. Of
+     * the outcomes without an answer, only a failed or broken connection counts here.
      */
-    private void judge(long nowUs, Backend s, Outcome outcome) {
+    private void updateFailures(long nowUs, Backend server, Outcome outcome) {
         if (outcome == Outcome.OK || outcome == Outcome.ERROR) {
-            judgeErrors(nowUs, s, outcome == Outcome.ERROR);
+            updateErrorShare(nowUs, server, outcome == Outcome.ERROR);
         }
         if (outcome == Outcome.OK) {
-            s.failures = 0;
-            s.silences = 0;
-            if (s.demotedUntilUs > nowUs) {
-                actions.reportVerdict(s.id, Verdict.DEMOTED, nowUs);
+            server.connectionFailures = 0;
+            server.unansweredCalls = 0;
+            if (server.demotedUntilUs > nowUs) {
+                actions.reportVerdict(server.id, Verdict.DEMOTED, nowUs);
             }
-            s.demotedUntilUs = Long.MIN_VALUE;
+            server.demotedUntilUs = Long.MIN_VALUE;
         } else if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
-            s.failures++;
-            s.demotedUntilUs = nowUs + FAIL_TIMEOUT_US;
-            actions.reportVerdict(s.id, Verdict.DEMOTED, s.demotedUntilUs);
-            if (s.failures >= MAX_FAILS) {
-                rest(nowUs, s, s.failures - MAX_FAILS, "fails or breaks connections");
+            server.connectionFailures++;
+            server.demotedUntilUs = nowUs + FAILURE_PENALTY_US;
+            actions.reportVerdict(server.id, Verdict.DEMOTED, server.demotedUntilUs);
+            if (server.connectionFailures >= EJECTION_CONNECTION_FAILURES) {
+                eject(nowUs, server, server.connectionFailures - EJECTION_CONNECTION_FAILURES,
+                        "fails or breaks connections");
             }
         }
     }
 
-    private void rest(long nowUs, Backend s, int before, String why) {
-        s.restUntilUs = nowUs + (FAIL_TIMEOUT_US << Math.min(before, MOST_DOUBLINGS));
-        actions.reportVerdict(s.id, Verdict.RESTS, s.restUntilUs);
-        if (before == 0) {
-            actions.log("server " + s.id + " is ejected: it " + why);
+    private void eject(long nowUs, Backend server, int earlierEjections, String reason) {
+        server.ejectedUntilUs = nowUs
+                + (FAILURE_PENALTY_US << Math.min(earlierEjections, MAX_EJECTION_DOUBLINGS));
+        actions.reportVerdict(server.id, Verdict.RESTS, server.ejectedUntilUs);
+        if (earlierEjections == 0) {
+            actions.log("server " + server.id + " is ejected: it " + reason);
         }
     }
 
     /** Retries a call whose attempt got no answer if allowed and a retry token is left, or gives up. */
-    private void again(long nowUs, Call call, Outcome outcome) {
-        double price = outcome.provesNotRun ? 0 : 1;
-        if (mayRepeat(nowUs, call) && retries >= price) {
-            retries -= price;
-            dispatch(nowUs, call);
+    private void retryOrGiveUp(long nowUs, Call call, Outcome outcome) {
+        double tokens = outcome.provesNotRun ? 0 : 1;
+        if (canRepeat(nowUs, call) && retryTokens >= tokens) {
+            retryTokens -= tokens;
+            sendOrQueue(nowUs, call);
         } else {
             giveUp(nowUs, call);
         }
@@ -1021,59 +1068,59 @@
 
     /** Refuses a call if its client may safely try again and has time or a delay for that; else fails it. */
     private void giveUp(long nowUs, Call call) {
-        call.ended = true;
-        boolean timeLeft = leastUs(call) < call.leftUs(nowUs);
+        call.hasEnded = true;
+        boolean hasTimeLeft = minExpectedUs(call) < call.timeLeftUs(nowUs);
         long retryAfterUs = settings.limits().maxRetryAfterUs();
-        if (mayRefuse(call) && (timeLeft || retryAfterUs > 0)) {
-            actions.refuse(call.request.id(), timeLeft ? 0 : retryAfterUs);
+        if (canRefuse(call) && (hasTimeLeft || retryAfterUs > 0)) {
+            actions.refuse(call.request.id(), hasTimeLeft ? 0 : retryAfterUs);
         } else {
             actions.fail(call.request.id());
         }
-        forget(call);
+        removeIfFinished(call);
     }
 
-    private static boolean mayRefuse(Call call) {
-        return mayHaveRun(call) == null || call.kind.effect() == Effect.SAFE
-                || call.kind.effect() == Effect.KEYED && call.kind.group() == DedupGroup.ALL;
+    private static boolean canRefuse(Call call) {
+        return firstPossiblyRun(call) == null || call.requestClass.effect() == Effect.SAFE
+                || call.requestClass.effect() == Effect.KEYED && call.requestClass.group() == DedupGroup.ALL;
     }
 
-    private void forget(Call call) {
-        if (call.ended && call.out == 0) {
-            calls.remove(call.request.id());
+    private void removeIfFinished(Call call) {
+        if (call.hasEnded && call.attemptsInFlight == 0) {
+            callsById.remove(call.request.id());
         }
     }
 
     @Override
     public void streamStarted(long nowUs, String id, int attempt, String server, long elapsedUs) {
-        Call call = calls.get(id);
-        if (call == null || attempt >= call.attempts.size() || !call.attempts.get(attempt).out) {
+        Call call = callsById.get(id);
+        if (call == null || attempt >= call.attempts.size() || !call.attempts.get(attempt).isInFlight) {
             return;
         }
         // The rest depends on the client's speed, so for the server and for the aim the call has ended.
-        Attempt begun = call.attempts.get(attempt);
-        begun.answering = true;
-        begun.done();
-        judge(nowUs, begun.server, Outcome.OK);
-        learn(nowUs, begun, Outcome.OK, elapsedUs);
-        call.ended = true;
-        cancelRest(call);
-        advance(nowUs);
+        Attempt streaming = call.attempts.get(attempt);
+        streaming.isAnswering = true;
+        streaming.endWork();
+        updateFailures(nowUs, streaming.server, Outcome.OK);
+        recordResult(nowUs, streaming, Outcome.OK, elapsedUs);
+        call.hasEnded = true;
+        cancelAttempts(call);
+        runDueWork(nowUs);
     }
 
     @Override
     public void clientGone(long nowUs, String id) {
-        Call call = calls.get(id);
-        if (call != null && !call.ended) {
+        Call call = callsById.get(id);
+        if (call != null && !call.hasEnded) {
             call.clientLeft(nowUs);
-            cancelRest(call);
-            forget(call);
-            advance(nowUs);
+            cancelAttempts(call);
+            removeIfFinished(call);
+            runDueWork(nowUs);
         }
     }
 
-    private void cancelRest(Call call) {
+    private void cancelAttempts(Call call) {
         for (int i = 0; i < call.attempts.size() && settings.limits().canCancel(); i++) {
-            if (call.attempts.get(i).out && !call.attempts.get(i).answering) {
+            if (call.attempts.get(i).isInFlight && !call.attempts.get(i).isAnswering) {
                 actions.cancel(call.request.id(), i);
             }
         }
@@ -1085,26 +1132,26 @@
      * Handles a stalled attempt: its server may hang, even while it accepts connections and answers probes. A
      * hedged attempt is sent to a second server where that is safe.
      */
-    private void overdue(long nowUs, Attempt attempt) {
-        attempt.overdue = true;
-        silent(nowUs, attempt.server);
+    private void handleStall(long nowUs, Attempt attempt) {
+        attempt.isStalled = true;
+        recordUnansweredCall(nowUs, attempt.server);
         Call call = attempt.call;
-        if (call.ended || retries < 1 || !mayRepeat(nowUs, call)
-                || nowUs + leastUs(call) > call.endAtUs) {
+        if (call.hasEnded || retryTokens < 1 || !canRepeat(nowUs, call)
+                || nowUs + minExpectedUs(call) > call.usefulUntilUs) {
             return;
         }
-        Backend s = pick(nowUs, call, false);
-        if (s != null) {
-            retries--;
-            send(nowUs, call, s);
+        Backend server = chooseServer(nowUs, call, false);
+        if (server != null) {
+            retryTokens--;
+            send(nowUs, call, server);
         }
     }
 
-    private void silent(long nowUs, Backend s) {
-        s.silences++;
-        s.demotedUntilUs = nowUs + FAIL_TIMEOUT_US;
-        if (s.silences >= SILENCES && mostStay(nowUs)) {
-            rest(nowUs, s, s.silences - SILENCES, "does not answer its calls");
+    private void recordUnansweredCall(long nowUs, Backend server) {
+        server.unansweredCalls++;
+        server.demotedUntilUs = nowUs + FAILURE_PENALTY_US;
+        if (server.unansweredCalls >= EJECTION_UNANSWERED && canEjectOneMore(nowUs)) {
+            eject(nowUs, server, server.unansweredCalls - EJECTION_UNANSWERED, "does not answer its calls");
         }
     }
 
@@ -1112,50 +1159,52 @@
      * Returns whether half of the subset stays in use if one more server is ejected, so that false alarms
      * cannot eject all.
      */
-    private boolean mostStay(long nowUs) {
-        long inUse = subset.stream().filter(s -> opensAtUs(nowUs, s) <= nowUs).count();
+    private boolean canEjectOneMore(long nowUs) {
+        long inUse = subset.stream().filter(server -> availableAtUs(nowUs, server) <= nowUs).count();
         return (inUse - 1) * 2 >= subset.size();
     }
 
     @Override
-    public void probeResult(long nowUs, String server, Outcome outcome, long elapsedUs, LoadReport report) {
-        Backend s = byId.get(server);
-        if (s == null) {
+    public void probeResult(long nowUs, String serverId, Outcome outcome, long elapsedUs, LoadReport report) {
+        Backend server = serversById.get(serverId);
+        if (server == null) {
             return;
         }
-        s.probedAtUs = Long.MIN_VALUE;
+        server.probeSentAtUs = Long.MIN_VALUE;
         if (outcome == Outcome.NOT_SENT) {
             // The probe was not sent, so its outcome says nothing about the server.
-            advance(nowUs);
+            runDueWork(nowUs);
             return;
         }
         if (outcome == Outcome.OK && report != null) {
-            s.unanswered = 0;
-            probeUs += MEAN_WEIGHT * (elapsedUs - probeUs);
-            s.reported = (int) Math.round(Math.max(report.inFlight(), report.queue()));
-            reportedLoad += MEAN_WEIGHT * (s.reported - reportedLoad);
-            if (s.reported > 0) {
+            server.unansweredProbes = 0;
+            meanProbeUs += MEAN_WEIGHT * (elapsedUs - meanProbeUs);
+            server.reportedLoad = (int) Math.round(Math.max(report.inFlight(), report.queue()));
+            meanProbedLoad += MEAN_WEIGHT * (server.reportedLoad - meanProbedLoad);
+            if (server.reportedLoad > 0) {
                 // Otherwise busy servers would be probed first each time, and hide how idle the others are.
-                order.place(s, Math.max(s.turnAtUs, nowUs));
-            } else if (!foundIdle.contains(s)) {
-                foundIdle.add(s);
+                assignmentOrder.put(server, Math.max(server.assignedAtUs, nowUs));
+            } else if (!probedIdle.contains(server)) {
+                probedIdle.add(server);
             }
-            s.reportUntilUs = nowUs + (long) (s.reported > 0 ? s.reported * callUs * BUSY_HOLDS
-                    : OVERDUE * probeUs);
-            s.demotedUntilUs = s.failures == 0 ? Long.MIN_VALUE : s.demotedUntilUs;
+            server.reportedLoadUntilUs = nowUs + (long) (server.reportedLoad > 0
+                    ? server.reportedLoad * meanCallUs * BUSY_REPORT_VALIDITY
+                    : PROBE_TIMEOUT_MULTIPLE * meanProbeUs);
+            server.demotedUntilUs = server.connectionFailures == 0 ? Long.MIN_VALUE : server.demotedUntilUs;
         } else if (outcome == Outcome.CONNECT_FAILED) {
-            judge(nowUs, s, outcome);
+            updateFailures(nowUs, server, outcome);
         } else {
-            long quietUs = (long) (OVERDUE * callUs);
-            s.demotedUntilUs = Math.max(s.demotedUntilUs, nowUs + quietUs);
+            long demotionUs = (long) (PROBE_TIMEOUT_MULTIPLE * meanCallUs);
+            server.demotedUntilUs = Math.max(server.demotedUntilUs, nowUs + demotionUs);
             // Demotion is not enough: an unreachable server would get calls whenever all others are busy.
-            if (++s.unanswered >= SILENCES && mostStay(nowUs)) {
-                quietUs <<= Math.min(s.unanswered - SILENCES, MOST_DOUBLINGS);
-                s.restUntilUs = Math.max(s.restUntilUs, nowUs + quietUs);
+            if (++server.unansweredProbes >= EJECTION_UNANSWERED && canEjectOneMore(nowUs)) {
+                demotionUs <<= Math.min(server.unansweredProbes - EJECTION_UNANSWERED,
+                        MAX_EJECTION_DOUBLINGS);
+                server.ejectedUntilUs = Math.max(server.ejectedUntilUs, nowUs + demotionUs);
             }
-            reportedLoad -= MEAN_WEIGHT * reportedLoad;
+            meanProbedLoad -= MEAN_WEIGHT * meanProbedLoad;
         }
-        advance(nowUs);
+        runDueWork(nowUs);
     }
 
     // ---- time
@@ -1163,10 +1212,10 @@
     @Override
     public void timer(long nowUs) {
         wakeAtUs = wakeAtUs <= nowUs ? Long.MAX_VALUE : wakeAtUs;
-        advance(nowUs);
+        runDueWork(nowUs);
     }
 
-    private void wake(long atUs) {
+    private void requestWakeUp(long atUs) {
         if (atUs < wakeAtUs) {
             wakeAtUs = atUs;
             actions.wakeAt(atUs);
@@ -1174,46 +1223,47 @@
     }
 
     /** Returns when the next server that is ejected or delayed may be used; computed once per event. */
-    private long nextReturn(long nowUs) {
-        if (!nextReturnKnown) {
-            nextReturnKnown = true;
-            nextReturnAtUs = lookForNextReturn(nowUs);
+    private long nextAvailableUs(long nowUs) {
+        if (!isNextAvailableKnown) {
+            isNextAvailableKnown = true;
+            nextAvailableUs = findNextAvailableUs(nowUs);
         }
-        return nextReturnAtUs;
+        return nextAvailableUs;
     }
 
-    private long lookForNextReturn(long nowUs) {
-        long next = Long.MAX_VALUE;
-        for (Backend s : subset) {
-            long at = opensAtUs(nowUs, s);
-            at = at <= nowUs ? s.reportUntilUs : at;
-            next = at > nowUs ? Math.min(next, at) : next;
+    private long findNextAvailableUs(long nowUs) {
+        long nextUs = Long.MAX_VALUE;
+        for (Backend server : subset) {
+            long availableAtUs = availableAtUs(nowUs, server);
+            availableAtUs = availableAtUs <= nowUs ? server.reportedLoadUntilUs : availableAtUs;
+            nextUs = availableAtUs > nowUs ? Math.min(nextUs, availableAtUs) : nextUs;
         }
-        return Math.min(next, nowUs + (long) (callUs * BUSY_HOLDS) + settings.tickUs());
+        return Math.min(nextUs, nowUs + (long) (meanCallUs * BUSY_REPORT_VALIDITY) + settings.tickUs());
     }
 
     /** Does the work that is due: queries discovery, handles stalled attempts, sends or ends queued calls. */
-    private void advance(long nowUs) {
-        if (askAtUs <= nowUs && !watching) {
-            askAtUs = Long.MAX_VALUE;
+    private void runDueWork(long nowUs) {
+        if (discoveryQueryAtUs <= nowUs && !isWatching) {
+            discoveryQueryAtUs = Long.MAX_VALUE;
             actions.watchServers();
         }
-        wake(askAtUs);
-        while (!sent.isEmpty() && (!sent.peek().out || sent.peek().overdueAtUs <= nowUs)) {
-            Attempt oldest = sent.poll();
-            if (oldest.out && !oldest.answering) {
-                overdue(nowUs, oldest);
+        requestWakeUp(discoveryQueryAtUs);
+        while (!startedAttempts.isEmpty()
+                && (!startedAttempts.peek().isInFlight || startedAttempts.peek().stalledAtUs <= nowUs)) {
+            Attempt oldest = startedAttempts.poll();
+            if (oldest.isInFlight && !oldest.isAnswering) {
+                handleStall(nowUs, oldest);
             }
         }
-        if (!sent.isEmpty()) {
-            wake(sent.peek().overdueAtUs);
+        if (!startedAttempts.isEmpty()) {
+            requestWakeUp(startedAttempts.peek().stalledAtUs);
         }
-        nextReturnKnown = false;
-        List<Call> held = List.copyOf(waiting);
-        waiting.clear();
-        for (Call call : held) {
-            if (!call.ended) {
-                dispatch(nowUs, call);
+        isNextAvailableKnown = false;
+        List<Call> queued = List.copyOf(queuedCalls);
+        queuedCalls.clear();
+        for (Call call : queued) {
+            if (!call.hasEnded) {
+                sendOrQueue(nowUs, call);
             }
         }
     }
--- a/src/main/java/larkworks/RecentCallCounts.java
+++ b/src/main/java/larkworks/RecentCallCounts.java
@@ -5,44 +5,45 @@
  * decay exponentially.
  */
 final class RecentCallCounts {
-    private final double fadeUs;
-    private long atUs;
-    private double tried;
-    private double served;
+    private final double decayTimeUs;
+    private long decayedAtUs;
+    private double total;
+    private double servedInTime;
 
-    /** A call counted {@code fadeUs} ago weighs about a third (1/e) of one counted now. */
-    RecentCallCounts(double fadeUs) {
-        this.fadeUs = fadeUs;
+    /** Creates empty counts. A call counted {@code decayTimeUs} ago weighs 1/e of one counted now. */
+    RecentCallCounts(double decayTimeUs) {
+        this.decayTimeUs = decayTimeUs;
     }
 
     /**
      * Decays the counts up to the given time. To be called before the counts are read: under congestion no
      * call may be counted, so that counting alone would not decay them.
      */
-    void age(long nowUs) {
-        double kept = Math.exp(Math.min(0, atUs - nowUs) / fadeUs);
-        atUs = nowUs;
-        tried *= kept;
-        served *= kept;
+    void decayTo(long nowUs) {
+        double remainingShare = Math.exp(Math.min(0, decayedAtUs - nowUs) / decayTimeUs);
+        decayedAtUs = nowUs;
+        total *= remainingShare;
+        servedInTime *= remainingShare;
     }
 
     /** Counts an ended call, unless it was counted before. */
-    void count(long nowUs, Call call, boolean inTime) {
-        age(nowUs);
-        tried += call.tallied ? 0 : 1;
-        served += call.tallied || !inTime ? 0 : 1;
-        call.tallied = true;
+    void countEnded(long nowUs, Call call, boolean isInTime) {
+        decayTo(nowUs);
+        total += call.isCounted ? 0 : 1;
+        servedInTime += call.isCounted || !isInTime ? 0 : 1;
+        call.isCounted = true;
     }
 
-    void countRefused(boolean refused) {
-        tried += refused ? 1 : 0;
+    /** Counts a call if it was refused. */
+    void countRefused(boolean isRefused) {
+        total += isRefused ? 1 : 0;
     }
 
-    double tried() {
-        return tried;
+    double total() {
+        return total;
     }
 
-    double served() {
-        return served;
+    double servedInTime() {
+        return servedInTime;
     }
 }
