--- a/src/main/java/larkworks/proxy/LingeringClose.java
+++ b/src/main/java/larkworks/proxy/LingeringClose.java
@@ -15,102 +15,102 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Closes connections so that their last answers arrive. Closed at once, with bytes of the peer's unread, a
- * connection is reset, and what the system holds of the answer is lost with it. So the sending ends first.
- * What the peer sends from then on is read and dropped, until it has closed too or its time is over. All
- * connections share one timer.
+ * Closes connections so that their last answers arrive. Closing a connection that has unread bytes resets it,
+ * and the part of the answer that is still in the system's send buffer is lost. So only the output is shut
+ * down first; bytes from the peer are read and dropped until the peer closes too or the linger time is over.
+ * All connections share one timer.
  */
 final class LingeringClose {
 
-    /** A peer that takes nothing for so long of what is still to be written is cut off. */
-    static final long STALL_MS = 10_000;
+    /** A connection whose pending writes make no progress for this long is reset. */
+    static final long STALL_TIMEOUT_MS = 10_000;
 
     private final EventLoop loop;
-    private long mostMs;
-    /** Connections whose sending has ended, and when it did, the longest ago first. */
+    private long maxLingerMs;
+    /** Connections whose output is shut down, with the time of the shutdown, the earliest first. */
     private final Map<Channel, Long> lingering = new LinkedHashMap<>();
-    /** Closes the first of them, or null. */
-    private Future<?> expiry;
+    /** Timer that closes the connection that has lingered longest; null if none lingers. */
+    private Future<?> expiryTimer;
 
-    /** Lets each connection linger for a time at most. */
-    LingeringClose(EventLoop loop, long mostMs) {
+    /** Creates an instance that closes each connection after the given linger time at the latest. */
+    LingeringClose(EventLoop loop, long maxLingerMs) {
         this.loop = loop;
-        this.mostMs = mostMs;
+        this.maxLingerMs = maxLingerMs;
     }
 
-    /** Changes the time for all, also for those that linger now. */
-    void limit(long ms) {
-        mostMs = ms;
-        if (expiry != null) {
-            expiry.cancel(false);
-            expiry = null;
+    /** Changes the maximum linger time, also for connections that linger now. */
+    void setMaxLinger(long ms) {
+        maxLingerMs = ms;
+        if (expiryTimer != null) {
+            expiryTimer.cancel(false);
+            expiryTimer = null;
         }
-        expire();
+        closeExpired();
     }
 
     /**
-     * Writes the last message, ends the sending once all is written, and closes once the peer has or the time
-     * is over. Nothing that comes from here on is decoded.
+     * Writes the last message, then shuts down the output, and closes the connection once the peer has closed
+     * it or the linger time is over. Bytes received from now on are not decoded.
      *
-     * @return told when the message is written
+     * @return the future of the write
      */
     ChannelFuture close(Channel channel, Object message) {
-        channel.pipeline().addFirst(new Discard());
+        channel.pipeline().addFirst(new DiscardHandler());
         // Only reading shows that the peer has closed.
         channel.config().setAutoRead(true);
-        return watched(channel, channel.writeAndFlush(message)).addListener(done -> {
+        return resetIfStalled(channel, channel.writeAndFlush(message)).addListener(done -> {
             if (done.isSuccess()) {
-                endSending(channel);
+                startLingering(channel);
             } else {
                 channel.close();
             }
         });
     }
 
-    /** Closes the connection that lingers longest; false where none does. */
-    boolean evict() {
-        var all = lingering.keySet().iterator();
-        if (!all.hasNext()) {
+    /** Closes the connection that has lingered longest; false if none lingers. */
+    boolean evictLongest() {
+        var channels = lingering.keySet().iterator();
+        if (!channels.hasNext()) {
             return false;
         }
-        Channel longest = all.next();
-        all.remove();
+        Channel longest = channels.next();
+        channels.remove();
         longest.close();
         return true;
     }
 
-    /** Closes a connection such that its peer can tell that not all has come. */
+    /** Closes a connection with a TCP reset, so that the peer sees that the answer is truncated. */
     static void reset(Channel channel) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
     }
 
-    /** Bytes that the system has not taken yet. */
-    static long unwritten(Channel channel) {
-        ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
-        return waiting == null ? 0 : waiting.totalPendingWriteBytes();
+    /** Returns the number of bytes in the channel's write buffer, not yet passed to the system. */
+    static long unwrittenBytes(Channel channel) {
+        ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
+        return buffer == null ? 0 : buffer.totalPendingWriteBytes();
     }
 
-    /** The same write, cut off by a reset where the peer takes nothing of it for {@link #STALL_MS}. */
-    ChannelFuture watched(Channel channel, ChannelFuture written) {
+    /** Resets the connection if the write stalls for {@link #STALL_TIMEOUT_MS}; returns the write. */
+    ChannelFuture resetIfStalled(Channel channel, ChannelFuture written) {
         if (!written.isDone()) {
-            watch(channel, written);
+            scheduleStallCheck(channel, written);
         }
         return written;
     }
 
-    private void watch(Channel channel, ChannelFuture written) {
-        long before = unwritten(channel);
+    private void scheduleStallCheck(Channel channel, ChannelFuture written) {
+        long unwrittenBefore = unwrittenBytes(channel);
         loop.schedule(() -> {
-            if (!written.isDone() && unwritten(channel) == before) {
+            if (!written.isDone() && unwrittenBytes(channel) == unwrittenBefore) {
                 reset(channel);
             } else if (!written.isDone()) {
-                watch(channel, written);
+                scheduleStallCheck(channel, written);
             }
-        }, STALL_MS, TimeUnit.MILLISECONDS);
+        }, STALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void endSending(Channel channel) {
+    private void startLingering(Channel channel) {
         lingering.put(channel, nowMs());
         channel.closeFuture().addListener(closed -> lingering.remove(channel));
         ((DuplexChannel) channel).shutdownOutput().addListener(done -> {
@@ -118,32 +118,33 @@
                 channel.close();
             }
         });
-        expire();
+        closeExpired();
     }
 
-    /** Closes those whose time is over, and comes back for the next. */
-    private void expire() {
-        while (!lingering.isEmpty() && firstDueMs() <= 0) {
-            evict();
+    /** Closes the connections whose linger time is over, and starts the timer for the next one. */
+    private void closeExpired() {
+        while (!lingering.isEmpty() && untilFirstExpiryMs() <= 0) {
+            evictLongest();
         }
-        if (expiry == null && !lingering.isEmpty()) {
-            expiry = loop.schedule(() -> {
-                expiry = null;
-                expire();
-            }, firstDueMs(), TimeUnit.MILLISECONDS);
+        if (expiryTimer == null && !lingering.isEmpty()) {
+            expiryTimer = loop.schedule(() -> {
+                expiryTimer = null;
+                closeExpired();
+            }, untilFirstExpiryMs(), TimeUnit.MILLISECONDS);
         }
     }
 
-    private long firstDueMs() {
-        return lingering.values().iterator().next() + mostMs - nowMs();
+    /** Returns the time until the connection that has lingered longest must be closed. */
+    private long untilFirstExpiryMs() {
+        return lingering.values().iterator().next() + maxLingerMs - nowMs();
     }
 
     private static long nowMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** Drops what comes before anything is made of it. */
-    static final class Discard extends ChannelInboundHandlerAdapter {
+    /** Drops received bytes before they are decoded. */
+    static final class DiscardHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             ReferenceCountUtil.release(bytes);
