--- a/src/main/java/larkworks/Balancer.java
+++ b/src/main/java/larkworks/Balancer.java
@@ -146,9 +146,10 @@
      * @param tenants the tenants, by position; empty where there are none
      * @param limits the operations that the deployment allows
      * @param rules the limits for draining servers, for queries to discovery and for cold servers
-     * @param probePrice the cost of one probe per request, as a part of the total worth; not negative
-     * @param crossZonePrice the cost of one attempt per request to another zone, as a part of the total
-     *     worth; not negative
+     * @param probePrice the cost of one probe per request, as a part of the worth of all requests;
+     *     not negative
+     * @param crossZonePrice the cost of one attempt per request to another zone, as a part of the worth of
+     *     all requests; not negative
      * @param zone the zone this instance is in
      * @param copy the number of this instance among {@code copies}, from 0
      * @param copies the number of instances that send to the same tier, including this one; at least 1
--- a/src/main/java/larkworks/Call.java
+++ b/src/main/java/larkworks/Call.java
@@ -15,7 +15,7 @@
     final double relativeWork;
     /** When the client gives up. */
     long deadlineUs;
-    /** Whether the body is still being received; the time of the call begins after that. */
+    /** Whether the body is still being received; the call's time limits start after that. */
     boolean isUploading;
     /** Whether part of the body was discarded, so that no further attempt can be sent. */
     boolean isBodyDiscarded;
@@ -49,7 +49,7 @@
         return usefulUntilUs - (isUploading && nowUs < deadlineUs ? startUs : nowUs);
     }
 
-    /** Starts the time of the call, as its body has been received in full. */
+    /** Starts the call's time limits from now, as its body has been received in full. */
     void uploadCompleted(long nowUs) {
         isUploading = false;
         usefulUntilUs += nowUs + request.timeLeftUs() - deadlineUs;
--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -40,8 +40,8 @@
     /** The maximum random delay added to {@link #WATCH_RETRY_DELAY_US}; doubled at each failure. */
     private static final long WATCH_RETRY_JITTER_US = 250_000;
     /**
-     * The part of the total worth that probes may cost over all tiers. No probe is sent where two of them for
-     * each call would cost more.
+     * The part of the worth of all requests that probes may cost over all tiers. No probe is sent where two
+     * of them for each call would cost more.
      */
     private static final double MAX_PROBE_COST_SHARE = 0.02;
     /** Probes in one round before a call: one may be lost or slow, a third would rarely be of use. */
@@ -68,7 +68,7 @@
     private static final double MAX_SHARE_OF_TIME_LEFT = 0.45;
     /** A server is assigned calls at most this many times less often, or more often, than the mean. */
     private static final double MAX_SLOWNESS = 20;
-    /** A reported load changes the assignment interval at most by this factor, as reports are inexact. */
+    /** A reported load changes the time to the next call at most by this factor, as reports are inexact. */
     private static final double MAX_LOAD_RATIO = 3;
     /** The part of the load under which a cold server would fail that all copies together may send to it. */
     private static final double COLD_LOAD_MARGIN = 0.6;
@@ -167,7 +167,7 @@
     private boolean isWatching;
     private long discoveryQueryAtUs = Long.MAX_VALUE;
     private int discoveryFailures;
-    /** The probes that the price allows for each call, and the probes saved up. */
+    /** The probes that their price allows for each call, and the probes saved up for later calls. */
     private final double probesPerCall;
     private double probeTokens;
     private double meanProbeUs;
@@ -1055,7 +1055,7 @@
         }
     }
 
-    /** Retries a call whose attempt got no answer if allowed and a retry token is left, or gives up. */
+    /** Retries a call whose attempt failed if that is allowed and a retry token is left; else gives it up. */
     private void retryOrGiveUp(long nowUs, Call call, Outcome outcome) {
         double tokens = outcome.provesNotRun ? 0 : 1;
         if (canRepeat(nowUs, call) && retryTokens >= tokens) {
