--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -36,145 +36,168 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the list of backends up to date. Where lists are pushed it watches from the start; where discovery
- * must be asked, the module says when, and each watch goes on until it fails.
+ * Keeps the list of backends up to date by long polls ("watches") of the discovery service. With discovery
+ * {@code pushed} it watches from the start. With discovery {@code on_request} the decision module says when
+ * to begin a watch, which then goes on until a call fails.
  */
 final class Discovery {
 
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
-    private static final String PATH = "/registry/instances";
-    /** Our own list service tells by it which data it holds; see {@code larkworks.registry}. */
-    private static final String EPOCH = "X-Registry-Epoch";
-    /** A replica of it tells by it that it has not heard of a leader for long. */
-    private static final String STALE = "X-Registry-Stale";
+    private static final String INSTANCES_PATH = "/registry/instances";
+    /** Header by which {@code larkworks.registry} names the epoch of its data; versions compare within it. */
+    private static final String EPOCH_HEADER = "X-Registry-Epoch";
+    /** Header of a registry replica that has had no contact with a leader for too long. */
+    private static final String STALE_HEADER = "X-Registry-Stale";
     /**
-     * Pause after an answer that came at once and told nothing, lest the two of us do nothing else; far below
-     * the 200 ms after which a watch is broken off.
+     * Pause after an empty answer that arrived at once, so that proxy and discovery don't poll in a busy
+     * loop. Far below 200 ms, after which a watch counts as interrupted.
      */
-    private static final long IDLE_PAUSE_MS = 20;
-    private static final long FIRST_PAUSE_MS = 50;
-    /** A connection that this machine could not make is tried again after this pause, so many times. */
-    private static final long LOCAL_PAUSE_MS = 10;
-    private static final int MOST_LOCAL_FAILURES = 10;
-    /** Those who lose one of several services at the same moment come to the others spread over so long. */
-    private static final long FAIL_OVER_MS = 200;
-    /** The most, and with its jitter of a quarter no more than half of a drain's grace. */
-    private static final long MOST_PAUSE_MS = 1_000;
-    /** Where discovery must be asked, the module's pause after a failure is cut short by then; see above. */
-    private static final long LATEST_ASK_MS = 1_000;
-    private static final long LATEST_ASK_JITTER_MS = 500;
-    /** Reads of an answer in a turn of the loop: some hundred backends, so that requests are not held up. */
-    private static final int READS_IN_TURN = 1;
-
-    /** Services that hold the list, the one asked at {@code at}; the next is tried when it fails. */
+    private static final long EMPTY_ANSWER_PAUSE_MS = 20;
+    /** Pause before the first retry of a failed call; it doubles with each further failure. */
+    private static final long MIN_RETRY_PAUSE_MS = 50;
+    /** Pause before a connection is retried that failed for lack of a descriptor, port or buffer here. */
+    private static final long LOCAL_FAILURE_PAUSE_MS = 10;
+    private static final int MAX_LOCAL_FAILURES = 10;
+    /** Proxies that lose the same discovery address at once spread their fail-over over this time. */
+    private static final long MAX_FAIL_OVER_DELAY_MS = 200;
+    /** Maximum pause between retries; the constructor lowers it where the drain grace is short. */
+    private static final long MAX_RETRY_PAUSE_MS = 1_000;
+    /**
+     * With discovery {@code on_request}, a failed call is retried after this time plus a random part of the
+     * jitter, unless the decision module asks sooner.
+     */
+    private static final long ON_REQUEST_RETRY_MS = 1_000;
+    private static final long ON_REQUEST_RETRY_JITTER_MS = 500;
+    /** Reads of an answer per loop iteration: about a hundred backends, so that requests are not delayed. */
+    private static final int READS_PER_LOOP_ITERATION = 1;
+
+    /** Addresses of the discovery service. {@code addressIndex} is the position of the one in use. */
     private List<InetSocketAddress> addresses;
-    private int at;
-    private final SplittableRandom jitter;
-    private final boolean asked;
+    private int addressIndex;
+    private final SplittableRandom random;
+    private final boolean isOnRequest;
     private final List<String> zones;
     private final EventLoop loop;
     private final Sockets sockets;
     private final Driver driver;
     private Channel channel;
-    private Future<?> silence;
-    /** The call to come after a pause; null where none was put off yet. */
-    private Future<?> next;
-    /** The version held; negative where the whole list is wanted. */
+    private Future<?> timeoutTask;
+    /** The task that starts the next call after a pause; null before the first pause. */
+    private Future<?> nextCallTask;
+    /** The version of the list in force; negative if the next call must ask for the full list. */
     private volatile long index;
-    /** Which data the list held is of, as the service tells; null where it doesn't. */
+    /** The registry epoch of the list in force; null if the service sends none. */
     private String epoch;
-    private final long mostPauseMs;
-    private long pauseMs = FIRST_PAUSE_MS;
-    private boolean calling;
-    /** What the call that is out is for, or the next one will be. */
+    private final long maxRetryPauseMs;
+    private long retryPauseMs = MIN_RETRY_PAUSE_MS;
+    private boolean callInProgress;
+    /** The purpose of the call in progress or, between calls, of the next one. */
     private Purpose purpose = Purpose.FIRST;
     private final DiscoveryWaits waits = new DiscoveryWaits();
     private final ListFreshness freshness = new ListFreshness();
-    /** Whether the answer to the call has begun to come, when, and how much of it has. */
-    private boolean begun;
-    private long begunAt;
+    /** Whether bytes of the answer to the call in progress have arrived. */
+    private boolean answerStarted;
+    /** When the first bytes of that answer arrived, by {@link System#nanoTime}. */
+    private long answerStartedNs;
+    /** Bytes of the body of that answer so far. */
     private long answerBytes;
-    private long calledAt;
-    private long calledUs;
-    /** When the list held was current: when the call was made that it answers; see {@link StartTimes}. */
-    private long currentUs = Long.MIN_VALUE;
+    private long callStartedNs;
+    private long callStartedUs;
     /**
-     * Since when what isn't known here may count as told, by the driver's clock: where lists are pushed, what
-     * the agent has counts whether or not it was asked. The greatest value where all is told at once.
+     * When the list in force was current: the start time of the call that returned it. Used by
+     * {@link StartTimes}.
      */
-    private long unsureUs;
+    private long listCurrentUs = Long.MIN_VALUE;
+    /**
+     * The earliest time, by the driver's clock, at which this proxy may have missed a change. With discovery
+     * {@code pushed}, by the platform's terms a change counts as delivered once discovery has it, whether or
+     * not the proxy has asked.
+     * {@code Long.MAX_VALUE} if no change can have been missed.
+     */
+    private long missedSinceUs;
     private boolean closed;
-    /** Calls that came to nothing since the last answer, where there are several services. */
-    private int failedInRow;
-    /** Those of them that were answered, but with no list. */
-    private int refusedInRow;
-    /** Connections in a row for which this machine had no descriptor, port or buffer. */
-    private int localFailures;
-    private boolean heard;
-    /** Whether the first call has ended; where lists are asked for, they count only when they come. */
-    private boolean settled;
-    private Runnable whenSettled = () -> { };
+    /** Consecutive failed calls; counted only with several discovery addresses. */
+    private int consecutiveFailures;
+    /** Consecutive answers without a usable list. */
+    private int consecutiveRefusals;
+    /** Consecutive connections that failed for lack of a descriptor, port or buffer on this machine. */
+    private int consecutiveLocalFailures;
+    private boolean listReceived;
+    /**
+     * Whether the first call has succeeded, failed or exceeded the time that the start allows it. True from
+     * the start with discovery {@code on_request}, where a list counts as delivered only on arrival.
+     */
+    private boolean firstCallEnded;
+    private Runnable firstCallEndedAction = () -> { };
 
     Discovery(Config config, EventLoop loop, Sockets sockets, Driver driver) {
         this.addresses = config.discovery();
-        this.jitter = new SplittableRandom(config.seed());
-        this.asked = config.settings().watchesDiscovery();
+        this.random = new SplittableRandom(config.seed());
+        this.isOnRequest = config.settings().watchesDiscovery();
         this.zones = config.zones();
         this.loop = loop;
         this.sockets = sockets;
         this.driver = driver;
-        this.settled = asked;
-        this.index = firstIndex(config);
-        this.unsureUs = asked ? Long.MAX_VALUE : driver.clock().nowUs();
-        // With a grace of drains shorter than the pause, word of one could come only once that is over.
-        this.mostPauseMs = Math.max(FIRST_PAUSE_MS, Math.min(MOST_PAUSE_MS,
+        this.firstCallEnded = isOnRequest;
+        this.index = initialIndex(config);
+        this.missedSinceUs = isOnRequest ? Long.MAX_VALUE : driver.clock().nowUs();
+        // A drain must become known within its grace. The pause with its jitter of a quarter stays within
+        // half of the grace.
+        this.maxRetryPauseMs = Math.max(MIN_RETRY_PAUSE_MS, Math.min(MAX_RETRY_PAUSE_MS,
                 config.settings().rules().drainGraceUs() / 1000 * 2 / 5));
-        driver.onWatch(this::call);
+        driver.onWatch(this::startCall);
     }
 
     /**
-     * The version to ask from at first, that of the list in the configuration: what changed since costs
-     * discovery little, and the whole list much where thousands of backends are listed or many ask at once.
+     * Returns the version of the list in the configuration, or -1 if there is none. The first call asks for
+     * changes since that version: they cost discovery little, whereas the full list costs much with thousands
+     * of backends or many proxies starting at once.
      */
-    private static long firstIndex(Config config) {
-        Listing known = config.known();
-        return known != null && known.whole() && !known.entries().isEmpty() ? known.index() : -1;
+    private static long initialIndex(Config config) {
+        Listing knownList = config.knownList();
+        return knownList != null && knownList.isFull() && !knownList.entries().isEmpty()
+                ? knownList.index() : -1;
     }
 
     void start() {
-        if (!asked) {
-            call();
+        if (!isOnRequest) {
+            startCall();
         }
     }
 
-    /** The version held; negative where the whole list is wanted. Safe to read from any thread. */
+    /**
+     * Returns the version of the list in force; negative if the next call must ask for the full list. Safe to
+     * call from any thread.
+     */
     long index() {
         return index;
     }
 
-    /** How far the list held may be trusted. Safe to call from any thread. */
+    /** Returns how far the list in force may be trusted. Safe to call from any thread. */
     ListFreshness.State freshness() {
         return freshness.state();
     }
 
-    /** Whether a list has come since the start. */
-    boolean heard() {
-        return heard;
+    /** Returns whether a list has been received since the start. */
+    boolean hasReceivedList() {
+        return listReceived;
     }
 
-    /** Runs the action, once, as soon as nothing is on its way that may count as told already. */
-    void whenSettled(Runnable action) {
-        whenSettled = action;
-        if (settled) {
-            settle();
+    /** Runs the action once: as soon as the first call has ended or counts as ended. */
+    void onFirstCallEnded(Runnable action) {
+        firstCallEndedAction = action;
+        if (firstCallEnded) {
+            markFirstCallEnded();
         }
     }
 
-    /** Counts the first call as ended, though it may go on: what it tells later is taken all the same. */
-    void settle() {
-        settled = true;
-        Runnable action = whenSettled;
-        whenSettled = () -> { };
+    /**
+     * Counts the first call as ended, even if it is in progress; a list that it returns later still applies.
+     */
+    void markFirstCallEnded() {
+        firstCallEnded = true;
+        Runnable action = firstCallEndedAction;
+        firstCallEndedAction = () -> { };
         action.run();
     }
 
@@ -186,313 +209,325 @@
     }
 
     /**
-     * From now on asks other addresses of the same service, and first for what is new. One that counts its
-     * versions anew shows that by a lower one, or refuses the one held; then the whole list is asked for.
+     * Drops the current call and switches to other addresses of the same service, asking for changes since
+     * the version in force. If the new service numbers its versions differently, it answers with a lower
+     * version or refuses the request; the full list is asked for then.
      */
-    void moveTo(List<InetSocketAddress> others) {
-        if (closed || others.equals(addresses)) {
+    void switchTo(List<InetSocketAddress> newAddresses) {
+        if (closed || newAddresses.equals(addresses)) {
             return;
         }
-        addresses = others;
-        at = 0;
+        addresses = newAddresses;
+        addressIndex = 0;
         purpose = Purpose.FIRST;
-        failedInRow = 0;
-        refusedInRow = 0;
-        if (calling) {
-            calling = false;
-            silence.cancel(false);
+        consecutiveFailures = 0;
+        consecutiveRefusals = 0;
+        if (callInProgress) {
+            callInProgress = false;
+            timeoutTask.cancel(false);
         }
-        dropChannel();
-        call();
+        closeChannel();
+        startCall();
     }
 
-    /** The list stays in force, but what comes next must be a whole one. */
-    private void forget() {
+    /** Makes the next call ask for the full list; the present list stays in force until then. */
+    private void requireFullList() {
         index = -1;
         epoch = null;
     }
 
-    private void dropChannel() {
+    private void closeChannel() {
         if (channel != null) {
-            Channel old = channel;
+            Channel oldChannel = channel;
             channel = null;
-            old.close();
+            oldChannel.close();
         }
     }
 
-    /** Asks for the list or, once one is held, for what is newer. */
-    private void call() {
-        if (calling || closed) {
+    /** Starts a call for the full list or, with a list in force, for the changes since its version. */
+    private void startCall() {
+        if (callInProgress || closed) {
             return;
         }
-        if (next != null) {
-            next.cancel(false);
+        if (nextCallTask != null) {
+            nextCallTask.cancel(false);
         }
-        calling = true;
-        begun = false;
+        callInProgress = true;
+        answerStarted = false;
         answerBytes = 0;
-        long from = System.nanoTime();
-        calledAt = from;
-        calledUs = driver.clock().nowUs();
-        limit(waits.firstByteMs(purpose, index < 0));
+        long startedNs = System.nanoTime();
+        callStartedNs = startedNs;
+        callStartedUs = driver.clock().nowUs();
+        startTimeout(waits.firstByteTimeoutMs(purpose, index < 0));
         if (channel != null && channel.isActive()) {
-            write(channel);
+            sendRequest(channel);
         } else {
-            Bootstrap own = new Bootstrap().group(loop).channel(TcpChannel.class)
+            Bootstrap bootstrap = new Bootstrap().group(loop).channel(TcpChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.RECVBUF_ALLOCATOR,
-                            Sockets.readBuffers().maxMessagesPerRead(READS_IN_TURN))
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) DiscoveryWaits.FIRST_SILENCE_MS)
+                            Sockets.readBuffers().maxMessagesPerRead(READS_PER_LOOP_ITERATION))
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) DiscoveryWaits.FIRST_CALL_TIMEOUT_MS)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
-                        protected void initChannel(SocketChannel fresh) {
-                            fresh.pipeline().addLast(new ReadNotifier(() -> stir(fresh)),
-                                    new HttpRequestEncoder(), new ResponseDecoder(), new Reader());
+                        protected void initChannel(SocketChannel newChannel) {
+                            newChannel.pipeline().addLast(
+                                    new ReadNotifier(() -> answerBytesReceived(newChannel)),
+                                    new HttpRequestEncoder(), new ResponseDecoder(), new AnswerReader());
                         }
                     });
-            channel = sockets.connectReserved(own, loop, addresses.get(at), connected -> {
+            channel = sockets.connectReserved(bootstrap, loop, addresses.get(addressIndex), connected -> {
                 if (connected != null && connected.isSuccess()) {
-                    write(connected.channel());
+                    sendRequest(connected.channel());
                 } else if (connected == null || SystemError.of(connected.cause()).isLocal()) {
-                    notConnectedHere(from);
+                    localConnectFailed(startedNs);
                 } else {
-                    lost(connected.channel());
+                    connectionClosed(connected.channel());
                 }
             });
         }
     }
 
     /**
-     * This machine had no descriptor, port or buffer for the connection, which says nothing about discovery:
-     * the same call begins anew soon, some times. Told of late: by then discovery may have moved, and another
-     * call be out.
+     * Retries the call after a short pause: this machine had no descriptor, port or buffer for the
+     * connection, which says nothing about discovery. After too many such failures in a row the call counts
+     * as failed. Ignored if another call has started meanwhile, for example because the addresses changed.
+     *
+     * @param startedNs the start time of the call that needed the connection
      */
-    private void notConnectedHere(long from) {
-        if (from != calledAt || !calling || closed) {
+    private void localConnectFailed(long startedNs) {
+        if (startedNs != callStartedNs || !callInProgress || closed) {
             return;
         }
-        if (++localFailures > MOST_LOCAL_FAILURES) {
-            failed("no socket, port or buffer here");
+        if (++consecutiveLocalFailures > MAX_LOCAL_FAILURES) {
+            callFailed("no descriptor, port or buffer on this machine for the connection");
             return;
         }
-        calling = false;
-        silence.cancel(false);
-        dropChannel();
-        callIn(LOCAL_PAUSE_MS);
+        callInProgress = false;
+        timeoutTask.cancel(false);
+        closeChannel();
+        scheduleCall(LOCAL_FAILURE_PAUSE_MS);
     }
 
-    /** Has the next call begin after a pause, unless something else has it begin sooner. */
-    private void callIn(long ms) {
-        next = loop.schedule(this::call, ms, TimeUnit.MILLISECONDS);
+    /** Schedules the next call after a pause; a call that starts sooner cancels the schedule. */
+    private void scheduleCall(long delayMs) {
+        nextCallTask = loop.schedule(this::startCall, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void limit(long ms) {
-        silence = loop.schedule(this::silent, ms, TimeUnit.MILLISECONDS);
+    private void startTimeout(long timeoutMs) {
+        timeoutTask = loop.schedule(this::answerTimedOut, timeoutMs, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * No answer, or no more of one. What a silent watch misses counts as told soon, so it is opened anew at
-     * once; that is no failure for the module to pause after.
+     * Ends a call whose answer did not start or did not continue within the timeout. With discovery
+     * {@code on_request} the next call starts at once, as changes that a dead watch misses soon count as
+     * delivered; the decision module is not notified of a failure, after which it would pause.
      */
-    private void silent() {
-        waits.silent();
-        if (asked && calling && !closed) {
-            giveUp(begun ? "the answer stopped" : "no answer");
-            call();
+    private void answerTimedOut() {
+        waits.callTimedOut();
+        if (isOnRequest && callInProgress && !closed) {
+            abandonCall(answerStarted ? "the answer stalled" : "no answer before the timeout");
+            startCall();
         } else {
-            failed(begun ? "the answer stopped" : "no answer");
+            callFailed(answerStarted ? "the answer stalled" : "no answer before the timeout");
         }
     }
 
-    /** Bytes of an answer came; one that stops half-way is not waited for as long as a silent watch. */
-    private void stir(Channel from) {
-        if (from != channel || !calling) {
+    /** Restarts the timeout when bytes of an answer arrive; it is shorter from the first byte on. */
+    private void answerBytesReceived(Channel source) {
+        if (source != channel || !callInProgress) {
             return;
         }
-        begunAt = begun ? begunAt : System.nanoTime();
-        begun = true;
-        silence.cancel(false);
-        limit(waits.nextByteMs(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begunAt), answerBytes));
+        answerStartedNs = answerStarted ? answerStartedNs : System.nanoTime();
+        answerStarted = true;
+        timeoutTask.cancel(false);
+        startTimeout(waits.nextBytesTimeoutMs(
+                TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - answerStartedNs), answerBytes));
     }
 
-    private void write(Channel to) {
+    private void sendRequest(Channel target) {
         var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                index < 0 ? PATH : PATH + "?index=" + index + "&wait=" + waits.waitMs(purpose),
+                index < 0 ? INSTANCES_PATH
+                        : INSTANCES_PATH + "?index=" + index + "&wait=" + waits.waitMs(purpose),
                 Unpooled.EMPTY_BUFFER);
-        InetSocketAddress address = addresses.get(at);
+        InetSocketAddress address = addresses.get(addressIndex);
         request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
-        to.writeAndFlush(request);
+        target.writeAndFlush(request);
     }
 
-    private void lost(Channel gone) {
-        if (gone == channel) {
+    private void connectionClosed(Channel closedChannel) {
+        if (closedChannel == channel) {
             channel = null;
-            if (calling) {
-                failed("the connection ended");
+            if (callInProgress) {
+                callFailed("the connection closed before the answer was complete");
             }
         }
     }
 
-    /** The call came to nothing. The list held stays in force. */
-    private void failed(String why) {
-        if (!calling || closed) {
+    /** Ends the call in progress as failed and schedules a retry. The list in force stays. */
+    private void callFailed(String reason) {
+        if (!callInProgress || closed) {
             return;
         }
-        giveUp(why);
-        if (asked) {
-            callIn(LATEST_ASK_MS + jitter.nextLong(LATEST_ASK_JITTER_MS));
+        abandonCall(reason);
+        if (isOnRequest) {
+            scheduleCall(ON_REQUEST_RETRY_MS + random.nextLong(ON_REQUEST_RETRY_JITTER_MS));
             driver.discoveryFailed();
         } else {
-            unsureUs = Math.min(unsureUs, driver.clock().nowUs());
-            // With jitter, lest all proxies come back to a service that was down at the same moment.
-            long afterMs = failedInRow == 1 ? jitter.nextLong(FAIL_OVER_MS + 1)
-                    : pauseMs * 3 / 4 + jitter.nextLong(pauseMs / 2 + 1);
-            callIn(afterMs);
-            pauseMs = Math.min(2 * pauseMs, mostPauseMs);
+            missedSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
+            // Jitter keeps proxies from returning all at once to a service that was down.
+            long delayMs = consecutiveFailures == 1 ? random.nextLong(MAX_FAIL_OVER_DELAY_MS + 1)
+                    : retryPauseMs * 3 / 4 + random.nextLong(retryPauseMs / 2 + 1);
+            scheduleCall(delayMs);
+            retryPauseMs = Math.min(2 * retryPauseMs, maxRetryPauseMs);
         }
-        settle();
+        markFirstCallEnded();
     }
 
-    /** Ends the call that is out; the next goes to the next service, where there are several. */
-    private void giveUp(String why) {
-        freshness.failed(driver.clock().nowUs(), why);
+    /** Ends the call in progress; with several addresses the next call goes to another one. */
+    private void abandonCall(String reason) {
+        freshness.callFailed(driver.clock().nowUs(), reason);
         if (LOG.isDebugEnabled()) {
-            LOG.atDebug().addKeyValue("why", why).addKeyValue("purpose", purpose)
+            LOG.atDebug().addKeyValue("why", reason).addKeyValue("purpose", purpose)
                     .addKeyValue("index", index).addKeyValue("bytes", answerBytes)
-                    .addKeyValue("after_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt))
+                    .addKeyValue("after_ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - callStartedNs))
                     .log("call given up");
         }
-        localFailures = 0;
-        calling = false;
+        consecutiveLocalFailures = 0;
+        callInProgress = false;
         purpose = Purpose.CATCH_UP;
-        silence.cancel(false);
-        dropChannel();
+        timeoutTask.cancel(false);
+        closeChannel();
         if (addresses.size() > 1) {
             failOver();
         }
     }
 
     /**
-     * Turns to another service: to any first, lest all go from one to the same, and then to each in turn. One
-     * that tells which data it has is taken for a replica among others of the same data, where the watch goes
-     * on from the version held; the whole list is wanted once as many refused that as there are services.
+     * Switches to another address: after the first failure to a random one, so that proxies don't all move to
+     * the same, then to each in order. A service that sends an epoch is a replica of the same data, where the
+     * watch continues from the version in force. The full list is asked for if no epoch is known, or after as
+     * many answers without a usable list as there are addresses.
      */
     private void failOver() {
-        failedInRow++;
-        int others = addresses.size() - 1;
-        at = (at + 1 + (failedInRow == 1 ? jitter.nextInt(others) : 0)) % addresses.size();
-        if (epoch == null || refusedInRow > others) {
-            forget();
+        consecutiveFailures++;
+        int otherAddresses = addresses.size() - 1;
+        addressIndex = (addressIndex + 1 + (consecutiveFailures == 1 ? random.nextInt(otherAddresses) : 0))
+                % addresses.size();
+        if (epoch == null || consecutiveRefusals > otherAddresses) {
+            requireFullList();
         }
     }
 
-    /** An answer has come to its end; the list is null where it held none. */
-    private void answered(HttpResponse response, Listing listing) {
+    /** Handles a complete answer; {@code listing} is null if it contained no valid list. */
+    private void answerReceived(HttpResponse response, Listing listing) {
         if (response.status().codeClass() == HttpStatusClass.CLIENT_ERROR) {
-            forget();  // it does not know the version held
+            requireFullList();  // the service doesn't know the version in force
         }
-        String told = response.headers().get(EPOCH);
-        if (listing == null || !listing.whole() && !follows(listing, told)) {
-            refusedInRow++;
-            failed("answered " + response.status().code() + (listing == null ? " with no list" : ""));
+        String answerEpoch = response.headers().get(EPOCH_HEADER);
+        if (listing == null || !listing.isFull() && !canApply(listing, answerEpoch)) {
+            consecutiveRefusals++;
+            callFailed("answered " + response.status().code()
+                    + (listing == null ? " without a valid list" : " with changes that do not apply"));
             return;
         }
-        waits.answered(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - calledAt));
-        freshness.answered(driver.clock().nowUs());
-        epoch = told;
-        calling = false;
-        long answeredCallUs = calledUs;
-        silence.cancel(false);
-        heard = true;
+        waits.callAnswered(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - callStartedNs));
+        freshness.callAnswered(driver.clock().nowUs());
+        epoch = answerEpoch;
+        callInProgress = false;
+        long answeredCallStartedUs = callStartedUs;
+        timeoutTask.cancel(false);
+        listReceived = true;
         purpose = Purpose.WATCH;
         index = listing.index();
-        pauseMs = FIRST_PAUSE_MS;
-        failedInRow = 0;
-        refusedInRow = 0;
-        localFailures = 0;
+        retryPauseMs = MIN_RETRY_PAUSE_MS;
+        consecutiveFailures = 0;
+        consecutiveRefusals = 0;
+        consecutiveLocalFailures = 0;
         if (!HttpUtil.isKeepAlive(response)) {
-            dropChannel();
+            closeChannel();
         }
-        if (addresses.size() > 1 && response.headers().contains(STALE)) {
-            // What it told is in force; another one may know more.
-            at = (at + 1) % addresses.size();
-            dropChannel();
+        if (addresses.size() > 1 && response.headers().contains(STALE_HEADER)) {
+            // The replica's list is applied, but another replica may have a newer one.
+            addressIndex = (addressIndex + 1) % addresses.size();
+            closeChannel();
         }
-        // First the next watch, so that it comes in time however long the news takes.
-        if (listing.entries().isEmpty() && System.nanoTime() - calledAt < IDLE_PAUSE_MS * 1_000_000) {
-            callIn(IDLE_PAUSE_MS);
+        // Starts the next watch before applying the list, which may take long.
+        if (listing.entries().isEmpty()
+                && System.nanoTime() - callStartedNs < EMPTY_ANSWER_PAUSE_MS * 1_000_000) {
+            scheduleCall(EMPTY_ANSWER_PAUSE_MS);
         } else {
-            call();
+            startCall();
         }
-        long toldUs = Math.min(unsureUs, driver.clock().nowUs());
-        unsureUs = Long.MAX_VALUE;
-        long beforeUs = currentUs;
-        currentUs = answeredCallUs;
-        driver.listChanged(listing.whole() ? ListKind.WHOLE : ListKind.CHANGES, listing.entries(), toldUs,
-                beforeUs);
-        settle();
+        long deliveredSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
+        missedSinceUs = Long.MAX_VALUE;
+        long previousListUs = listCurrentUs;
+        listCurrentUs = answeredCallStartedUs;
+        driver.listChanged(listing.isFull() ? ListKind.WHOLE : ListKind.CHANGES, listing.entries(),
+                deliveredSinceUs, previousListUs);
+        markFirstCallEnded();
     }
 
-    /** Whether changes may be applied to the list held; where not, the whole list is wanted next. */
-    private boolean follows(Listing changes, String told) {
-        boolean follows = index >= 0 && changes.index() >= index && Objects.equals(told, epoch);
-        if (!follows) {
+    /** Returns whether changes apply to the list in force; if not, the next call asks for the full list. */
+    private boolean canApply(Listing changes, String answerEpoch) {
+        boolean applicable = index >= 0 && changes.index() >= index && Objects.equals(answerEpoch, epoch);
+        if (!applicable) {
             LOG.atWarn().addKeyValue("index", changes.index()).addKeyValue("held", index)
-                    .log("changes do not follow the list held");
-            forget();
+                    .log("changes do not apply to the list in force; requesting the full list");
+            requireFullList();
         }
-        return follows;
+        return applicable;
     }
 
-    /** Reads what comes on the connection to discovery, and hands on each answer at its end. */
-    private final class Reader extends SimpleChannelInboundHandler<HttpObject> {
-        /** The answer that is coming, or null; interim ones are passed over. */
+    /** Reads answers from the connection to discovery and passes on each when it is complete. */
+    private final class AnswerReader extends SimpleChannelInboundHandler<HttpObject> {
+        /** The head of the answer being received, or null. Informational (1xx) answers are skipped. */
         private HttpResponse response;
-        /** Its list so far; null where it holds none, or none that can be read. */
-        private ListingReader reading;
+        /** The reader of the answer's list; null if the answer contains no list or an invalid one. */
+        private ListingReader listReader;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-            if (context.channel() != channel || !calling || part.decoderResult().isFailure()) {
+            if (context.channel() != channel || !callInProgress || part.decoderResult().isFailure()) {
                 context.close();
                 return;
             }
             if (part instanceof HttpResponse head
                     && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
                 response = head;
-                reading = head.status().code() == HttpResponseStatus.OK.code()
+                listReader = head.status().code() == HttpResponseStatus.OK.code()
                         ? new ListingReader(zones) : null;
             }
             if (part instanceof HttpContent content && response != null) {
                 answerBytes += content.content().readableBytes();
-                read(content);
+                readContent(content);
             }
         }
 
-        private void read(HttpContent content) {
+        private void readContent(HttpContent content) {
             Listing listing = null;
             boolean last = content instanceof LastHttpContent;
             try {
-                if (reading != null) {
-                    reading.read(content.content());
-                    listing = last ? reading.end() : null;
+                if (listReader != null) {
+                    listReader.read(content.content());
+                    listing = last ? listReader.finish() : null;
                 }
-            } catch (ListingReader.Unreadable e) {
-                LOG.atWarn().addKeyValue("why", e.getMessage()).log("a list that can't be read");
-                reading = null;
-                forget();
+            } catch (ListingReader.InvalidListException e) {
+                LOG.atWarn().addKeyValue("why", e.getMessage())
+                        .log("received an invalid list; requesting the full list");
+                listReader = null;
+                requireFullList();
             }
             if (last) {
-                HttpResponse whole = response;
+                HttpResponse answer = response;
                 response = null;
-                reading = null;
-                answered(whole, listing);
+                listReader = null;
+                answerReceived(answer, listing);
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            lost(context.channel());
+            connectionClosed(context.channel());
         }
 
         @Override
--- a/src/main/java/larkworks/proxy/Maintenance.java
+++ b/src/main/java/larkworks/proxy/Maintenance.java
@@ -11,112 +11,115 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What processes of this proxy have in common, as during a replacement two are alive. Keeps the operators'
- * calls about backends where they outlive the process, tells the driver, and sees the calls that came to the
- * other process; while there is one, descriptors are shared with it.
+ * Shares state between the processes of this proxy, of which two are alive during a replacement. Stores which
+ * backends operators put in maintenance in a folder that outlives the process, checks the folder for commands
+ * that the other process received, and passes all of them to the driver. While another process is alive, the
+ * descriptors are divided between the two.
  */
 final class Maintenance {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
-    /** What became of a call. */
-    enum Result { DONE, UNKNOWN, NOT_KEPT }
+    /** The outcome of an operator's command. */
+    enum Result { DONE, UNKNOWN_BACKEND, NOT_STORED }
 
-    /** Looks for the other process's calls in each fifth of the grace that a drain has; a look is cheap. */
-    private static final int LOOKS_IN_GRACE = 5;
-    private static final long LEAST_PAUSE_US = 10_000;
+    /** Checks of the folder within the grace of a drain; a check is cheap. */
+    private static final int CHECKS_PER_DRAIN_GRACE = 5;
+    private static final long MIN_CHECK_INTERVAL_US = 10_000;
 
     private final EventLoop loop;
     private final Driver driver;
     private final Sockets sockets;
-    private final long pauseUs;
-    private final InetSocketAddress listen;
-    /** Outlives this process; null where none does: calls then hold as long as it lives. */
-    private final Path state;
-    /** Null until the folder can be had: a disk may fail for a while, which must not end the start. */
-    private Absences kept;
-    /** Null likewise. */
-    private Presence presence;
-    private boolean failing;
+    private final long checkIntervalUs;
+    private final InetSocketAddress listenAddress;
+    /** Folder that outlives this process; null if none is given: commands then end with the process. */
+    private final Path stateFolder;
+    /** Null until the folder can be opened: a disk that fails for a while must not prevent the start. */
+    private MaintenanceStore store;
+    /** Null until the folder can be opened. */
+    private ProcessLock processLock;
+    private boolean lastCheckFailed;
 
     Maintenance(Config config, EventLoop loop, Driver driver, Sockets sockets) {
         this.loop = loop;
         this.driver = driver;
         this.sockets = sockets;
-        this.pauseUs = Math.max(LEAST_PAUSE_US, config.settings().rules().drainGraceUs() / LOOKS_IN_GRACE);
-        this.listen = config.listen();
-        this.state = config.state();
+        this.checkIntervalUs = Math.max(MIN_CHECK_INTERVAL_US,
+                config.settings().rules().drainGraceUs() / CHECKS_PER_DRAIN_GRACE);
+        this.listenAddress = config.listen();
+        this.stateFolder = config.stateFolder();
     }
 
-    private void open() throws IOException {
-        if (kept == null) {
-            Path folder = folder(state, listen);
-            presence = new Presence(folder);
-            kept = new Absences(folder);
+    private void openFolder() throws IOException {
+        if (store == null) {
+            Path folder = createFolder(stateFolder, listenAddress);
+            processLock = new ProcessLock(folder);
+            store = new MaintenanceStore(folder);
         }
     }
 
-    /** Each proxy has a folder of its own, by the address it listens on. */
-    private static Path folder(Path parent, InetSocketAddress listen) throws IOException {
-        String name = listen.getAddress().getHostAddress() + "-" + listen.getPort();
+    /** Creates and returns the proxy's own folder, named after the address that it listens at. */
+    private static Path createFolder(Path parent, InetSocketAddress listenAddress) throws IOException {
+        String name = listenAddress.getAddress().getHostAddress() + "-" + listenAddress.getPort();
         return Files.createDirectories(parent.resolve("larkworks-" + name.replace(':', '_')));
     }
 
-    /** Takes up what was called before; to be run on the loop, before the first request. */
+    /** Applies the stored commands; to be called on the loop, before the first request. */
     void start() {
-        if (state == null) {
-            LOG.warn("TMPDIR is not set, calls about backends end with this process");
+        if (stateFolder == null) {
+            LOG.warn("TMPDIR is not set: operators' commands about backends are lost when this process ends");
             return;
         }
-        look();
+        checkFolder();
     }
 
-    /** Ends what shows other processes that this one lives. */
+    /** Releases the lock by which other processes see that this one is alive. */
     void close() throws IOException {
-        if (presence != null) {
-            presence.close();
+        if (processLock != null) {
+            processLock.close();
         }
     }
 
-    private void look() {
+    private void checkFolder() {
         try {
-            open();
-            sockets.share(presence.accompanied());
-            Set<String> told = kept.read();
-            told.forEach(backend -> driver.maintenance(backend, true));
+            openFolder();
+            sockets.share(processLock.isOtherProcessAlive());
+            Set<String> stored = store.backends();
+            stored.forEach(backend -> driver.maintenance(backend, true));
             for (String backend : driver.out()) {
-                if (!told.contains(backend)) {
+                if (!stored.contains(backend)) {
                     driver.maintenance(backend, false);
                 }
             }
-            failing = false;
+            lastCheckFailed = false;
         } catch (IOException e) {
-            if (!failing) {
-                LOG.error("can't look for backends called out", e);
+            if (!lastCheckFailed) {
+                LOG.error("can't read which backends are in maintenance; trying again", e);
             }
-            failing = true;
+            lastCheckFailed = true;
         }
-        loop.schedule(this::look, pauseUs, TimeUnit.MICROSECONDS);
+        loop.schedule(this::checkFolder, checkIntervalUs, TimeUnit.MICROSECONDS);
     }
 
-    /** Leaves a backend out, or lets it serve again. */
-    Result call(String backend, boolean leave) {
+    /** Puts a backend in maintenance, or lets it serve again. */
+    Result setMaintenance(String backend, boolean inMaintenance) {
         if (!driver.knows(backend)) {
-            return Result.UNKNOWN;
+            return Result.UNKNOWN_BACKEND;
         }
         try {
-            if (state != null) {
-                open();
+            if (stateFolder != null) {
+                openFolder();
             }
-            if (kept != null && leave) {
-                kept.add(backend);
-            } else if (kept != null) {
-                kept.remove(backend);
+            if (store != null && inMaintenance) {
+                store.add(backend);
+            } else if (store != null) {
+                store.remove(backend);
             }
         } catch (IOException e) {
-            LOG.atError().addKeyValue("backend", backend).setCause(e).log("a call can't be kept");
-            return Result.NOT_KEPT;
+            LOG.atError().addKeyValue("backend", backend).setCause(e)
+                    .log("can't store an operator's command about a backend; it was not applied");
+            return Result.NOT_STORED;
         }
-        driver.maintenance(backend, leave);
+        driver.maintenance(backend, inMaintenance);
         return Result.DONE;
     }
 }
