--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -32,22 +32,23 @@
     @TempDir
     Path folder;
 
-    private int admin;
+    private int adminPort;
     private Bench bench;
 
     @BeforeEach
-    void prepare() throws IOException {
+    void setUp() throws IOException {
         bench = new Bench(2);
-        newAddress();
+        assignAdminAddress();
     }
 
-    private void newAddress() throws IOException {
-        admin = Bench.freePort();
-        bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR", folder.toString());
+    private void assignAdminAddress() throws IOException {
+        adminPort = Bench.freePort();
+        bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR",
+                folder.toString());
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         bench.close();
     }
 
@@ -58,41 +59,41 @@
     }
 
     private int call(String method, String path, String body) throws IOException {
-        return Bench.call(admin, method, path, body);
+        return Bench.call(adminPort, method, path, body);
     }
 
-    private int backend(String way, String id) throws IOException {
-        return call("PUT", "/ops/backends/" + way, "{\"who\":\"" + id + "\"}");
+    private int sendBackendCommand(String command, String id) throws IOException {
+        return call("PUT", "/ops/backends/" + command, "{\"who\":\"" + id + "\"}");
     }
 
     @Test
     void isReadyOnlyOnceTheProxyCanServe() throws Exception {
-        Thread starting = new Thread(() -> {
+        Thread startThread = new Thread(() -> {
             try {
                 bench.start(folder, "null");
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
-        starting.start();
-        Peer.Message asked = bench.discovery.next();
-        assertEquals(503, Bench.awaitCall(admin, "GET", "/ops/readiness"));
-        asked.reply(200, bench.all(7));
-        starting.join();
+        startThread.start();
+        Peer.Message firstCall = bench.discovery.next();
+        assertEquals(503, Bench.awaitCall(adminPort, "GET", "/ops/readiness"));
+        firstCall.reply(200, bench.all(7));
+        startThread.join();
         assertEquals(200, call("GET", "/ops/readiness", ""));
     }
 
     @Test
-    void servesWithTheListFromBeforeWhereDiscoveryIsSilent() throws Exception {
-        long from = System.nanoTime();
+    void servesByTheConfiguredListWhereDiscoveryDoesNotAnswer() throws Exception {
+        long startNs = System.nanoTime();
         bench.start(folder);
         assertEquals(200, call("GET", "/ops/readiness", ""));
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
         assertTrue(tookMs < 5_500, "must be ready before the platform's 6 s, but took ms: " + tookMs);
     }
 
     @Test
-    void isNeverFoundAtItsAddressWhereItIsToldToEndDuringItsWarmUp() throws Exception {
+    void acceptsNoConnectionsIfDrainedDuringWarmUp() throws Exception {
         int port = Bench.freePort();
         bench.list(bench.all(7));
         Path file = Files.writeString(folder.resolve("config.json"), bench.config(port, bench.all(7)));
@@ -100,25 +101,25 @@
         main.start();
         // Queued in the event loop after the start of the warm-up and before its end, some iterations later.
         CompletableFuture<Void> ended = CompletableFuture.runAsync(main::drainAndWait);
-        int found = 0;
+        int acceptedConnections = 0;
         while (!ended.isDone()) {
             try {
                 new Socket(InetAddress.getByName(Bench.HOST), port).close();
-                found++;
+                acceptedConnections++;
             } catch (ConnectException e) {
                 Thread.sleep(5);
             }
         }
         ended.get();
         main.close();
-        assertEquals(0, found);
+        assertEquals(0, acceptedConnections);
     }
 
     @Test
-    void leavesABackendOutUntilTheCallBackWhateverTheListSays() throws Exception {
+    void keepsABackendInMaintenanceUntilTheUpCommandWhateverTheListSays() throws Exception {
         start();
-        assertEquals(200, backend("down", "b0"));
-        assertEquals(200, backend("down", "b0"));
+        assertEquals(200, sendBackendCommand("down", "b0"));
+        assertEquals(200, sendBackendCommand("down", "b0"));
         for (int i = 0; i < 4; i++) {
             assertEquals(1, bench.served());
         }
@@ -126,39 +127,39 @@
         for (int i = 0; i < 4; i++) {
             assertEquals(1, bench.served());
         }
-        assertEquals(200, backend("up", "b0"));
-        assertEquals(200, backend("up", "b0"), "the command may be repeated");
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
+        assertEquals(200, sendBackendCommand("up", "b0"));
+        assertEquals(200, sendBackendCommand("up", "b0"), "the command may be repeated");
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
         while (bench.served() != 0) {
-            assertTrue(System.nanoTime() < until, "b0 received no request for 5 s");
+            assertTrue(System.nanoTime() < deadlineNs, "b0 received no request for 5 s");
         }
     }
 
     @Test
-    void closesIdleConnectionsToABackendThatIsLeftOut() throws Exception {
+    void closesIdleConnectionsToABackendInMaintenance() throws Exception {
         start();
-        assertEquals(200, backend("down", "b1"));
+        assertEquals(200, sendBackendCommand("down", "b1"));
         Bench.Client client = bench.client().look("r");
-        Peer.Message sent = bench.backends.get(0).next();
-        sent.reply(200, "");
+        Peer.Message backendRequest = bench.backends.get(0).next();
+        backendRequest.reply(200, "");
         assertEquals(200, client.status());
-        assertEquals(200, backend("up", "b1"));
-        assertEquals(200, backend("down", "b0"));
-        sent.awaitEnd();
+        assertEquals(200, sendBackendCommand("up", "b1"));
+        assertEquals(200, sendBackendCommand("down", "b0"));
+        backendRequest.awaitEnd();
     }
 
     @Test
-    void keepsWhatWasCalledOutOverAnotherStart() throws Exception {
+    void keepsBackendsInMaintenanceAcrossARestart() throws Exception {
         start();
-        assertEquals(200, backend("down", "b0"));
+        assertEquals(200, sendBackendCommand("down", "b0"));
         bench.stop();
         // In production the next process has an admin address of its own, too.
-        newAddress();
+        assignAdminAddress();
         start();
         for (int i = 0; i < 4; i++) {
             assertEquals(1, bench.served());
         }
-        assertEquals(200, backend("up", "b0"));
+        assertEquals(200, sendBackendCommand("up", "b0"));
     }
 
     @ParameterizedTest
@@ -177,7 +178,7 @@
         "PUT | /ops/readiness | ''",
         "GET | /ops | ''",
     })
-    void saysNoToABadCallAndChangesNothing(String method, String path, String body) throws Exception {
+    void rejectsABadCommandAndChangesNothing(String method, String path, String body) throws Exception {
         start();
         int status = call(method, path, body);
         assertTrue(status >= 400 && status < 500, "status " + status);
@@ -185,89 +186,91 @@
     }
 
     @Test
-    void saysNoToAnOversizedBody() throws Exception {
+    void rejectsAnOversizedBody() throws Exception {
         start();
-        assertEquals(413, backend("down", "b0" + " ".repeat(100_000)));
+        assertEquals(413, sendBackendCommand("down", "b0" + " ".repeat(100_000)));
         assertTrue(bench.served() + bench.served() == 1, "requests must alternate between both backends");
     }
 
     @Test
-    void answersAtOnceWhereManyCallersSendNothingOrHalfACall() throws Exception {
+    void answersAtOnceWhileManyClientsSendNothingOrAnIncompleteRequest() throws Exception {
         start();
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> idleSockets = new ArrayList<>();
         try {
             for (int i = 0; i < 200; i++) {
-                Socket caller = new Socket(InetAddress.getByName(Bench.HOST), admin);
-                crowd.add(caller);
+                Socket idleSocket = new Socket(InetAddress.getByName(Bench.HOST), adminPort);
+                idleSockets.add(idleSocket);
                 if (i % 2 == 0) {
-                    caller.getOutputStream().write("PUT /ops/backends/down HT".getBytes());
+                    idleSocket.getOutputStream().write("PUT /ops/backends/down HT".getBytes());
                 }
                 if (i % 10 == 0) {
-                    long from = System.nanoTime();
+                    long startNs = System.nanoTime();
                     assertEquals(200, call("GET", "/ops/readiness", ""));
-                    assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(1));
+                    assertTrue(System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(1));
                 }
             }
-            long from = System.nanoTime();
-            for (Socket caller : crowd) {
-                caller.setSoTimeout(10_000);
-                assertNull(readOrReset(caller), "the connection must be closed without a response");
+            long startNs = System.nanoTime();
+            for (Socket idleSocket : idleSockets) {
+                idleSocket.setSoTimeout(10_000);
+                assertNull(readOrNullIfClosed(idleSocket),
+                        "the connection must be closed without a response");
             }
-            assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(3),
+            assertTrue(System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(3),
                     "all connections must be closed within 3 s");
         } finally {
-            for (Socket caller : crowd) {
-                caller.close();
+            for (Socket idleSocket : idleSockets) {
+                idleSocket.close();
             }
         }
     }
 
     /** Reads a response; returns null where the connection was closed or reset instead. */
-    private static Peer.Message readOrReset(Socket socket) throws IOException {
+    private static Peer.Message readOrNullIfClosed(Socket socket) throws IOException {
         try {
             return Peer.Message.read(new BufferedInputStream(socket.getInputStream()), socket,
                     new java.util.concurrent.CountDownLatch(1));
-        } catch (java.net.SocketException reset) {
+        } catch (java.net.SocketException e) {
             return null;
         }
     }
 
     @Test
-    void theConfigurationNamesTheAddressWhereTheEnvironmentDoesNot() throws Exception {
+    void usesTheAddressInTheConfigurationIfTheEnvironmentHasNone() throws Exception {
         bench.environment = Map.of();
-        bench.more = "\"admin_addr\":\"" + Bench.HOST + ":" + admin + "\",";
+        bench.more = "\"admin_addr\":\"" + Bench.HOST + ":" + adminPort + "\",";
         start();
         assertEquals(200, call("GET", "/ops/readiness", ""));
-        assertEquals(200, backend("down", "b0"), "without TMPDIR the command is kept in memory");
+        assertEquals(200, sendBackendCommand("down", "b0"), "without TMPDIR the command is kept in memory");
         assertEquals(1, bench.served());
     }
 
     @Test
-    void startsThoughItsFolderCantBeHadAtFirstAndKeepsCallsOnceItCan() throws Exception {
-        Path state = Files.writeString(folder.resolve("state"), "a file at the path of the state folder");
-        bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR", state.toString());
+    void startsWithoutItsStateFolderAndStoresCommandsOnceItCanBeCreated() throws Exception {
+        Path statePath = Files.writeString(folder.resolve("state"), "a file at the path of the state folder");
+        bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR",
+                statePath.toString());
         start();
-        assertEquals(500, backend("down", "b0"), "the command could not be stored");
-        Files.delete(state);
-        long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
-        while (backend("down", "b0") != 200 && System.nanoTime() < until) {
+        assertEquals(500, sendBackendCommand("down", "b0"), "the command could not be stored");
+        Files.delete(statePath);
+        long deadlineNs = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
+        while (sendBackendCommand("down", "b0") != 200 && System.nanoTime() < deadlineNs) {
             Thread.sleep(20);
         }
         assertEquals(1, bench.served());
     }
 
     @Test
-    void anAddressThatCanNotBeUsedFailsTheStart() throws Exception {
+    void failsToStartAtAnUnusableAdminAddress() throws Exception {
         Path file = Files.writeString(folder.resolve("c.json"), bench.config(0, "null"));
-        assertThrowsConfig(() -> Config.read(file.toString(), Map.of("GW_ADMIN_ADDR", "here:1"),
+        assertFailsWithOneLineMessage(() -> Config.read(file.toString(), Map.of("GW_ADMIN_ADDR", "here:1"),
                 Map.of()));
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName(Bench.HOST))) {
-            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + taken.getLocalPort());
-            assertThrowsConfig(() -> bench.start(folder));
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getByName(Bench.HOST))) {
+            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + occupied.getLocalPort());
+            assertFailsWithOneLineMessage(() -> bench.start(folder));
         }
     }
 
-    private static void assertThrowsConfig(org.junit.jupiter.api.function.Executable start) {
+    private static void assertFailsWithOneLineMessage(org.junit.jupiter.api.function.Executable start) {
         String message = org.junit.jupiter.api.Assertions
                 .assertThrows(larkworks.platform.ConfigFile.Unusable.class, start).getMessage();
         assertEquals(1, message.lines().count(), message);
--- a/src/test/java/larkworks/proxy/ConfigFileTest.java
+++ b/src/test/java/larkworks/proxy/ConfigFileTest.java
@@ -18,7 +18,7 @@
 /** Tests that a proxy's TOML configuration is read, and that all errors in it are reported at once. */
 class ConfigFileTest {
 
-    private static final String GOOD = """
+    private static final String VALID_CONFIG = """
             name = "n3"
             listen = "127.0.0.1:9000"
             discovery = ["127.0.0.1:8500", "127.0.0.2:8500"]
@@ -70,8 +70,8 @@
     }
 
     @Test
-    void readsTomlWithFlagsBeforeTheEnvironmentBeforeTheFile() throws Exception {
-        Config config = read(GOOD, Map.of("GW_ADMIN_ADDR", "127.0.0.1:7", "GW_LISTEN", "127.0.0.1:8"),
+    void readsTomlWithOverridesFromFlagsAndTheEnvironment() throws Exception {
+        Config config = read(VALID_CONFIG, Map.of("GW_ADMIN_ADDR", "127.0.0.1:7", "GW_LISTEN", "127.0.0.1:8"),
                 Map.of("discovery", "127.0.0.1:9"));
         assertEquals(7, config.adminAddress().getPort());
         assertEquals(9000, config.listen().getPort(),
@@ -80,32 +80,36 @@
         assertEquals(250_000, config.fleet().settings().probeIntervalUs());
         assertEquals(100_000, config.fleet().settings().probeTimeoutUs(), "derived from the interval");
         assertEquals(Level.DEBUG, config.logs().levels().get("members"));
-        String without = GOOD.replaceFirst("listen.*\n", "");
-        assertEquals(8, read(without, Map.of("GW_LISTEN", "127.0.0.1:8"), Map.of()).listen().getPort());
+        String configWithoutListen = VALID_CONFIG.replaceFirst("listen.*\n", "");
+        assertEquals(8,
+                read(configWithoutListen, Map.of("GW_LISTEN", "127.0.0.1:8"), Map.of()).listen().getPort());
     }
 
     @Test
-    void knowsItselfAmongThePeersByAddressElseByItsNumberInTheSettings() throws Exception {
-        assertEquals(0, read(GOOD, Map.of(), Map.of()).fleet().self());
-        String elsewhere = GOOD.replace("peer_listen = \"127.0.0.1:7946\"", "peer_listen = \"127.0.0.9:1\"");
-        assertEquals(1, read(elsewhere.replace("me = 0", "me = 1"), Map.of(), Map.of()).fleet().self());
+    void findsItselfAmongThePeersByAddressOrElseByItsIndexInTheSettings() throws Exception {
+        assertEquals(0, read(VALID_CONFIG, Map.of(), Map.of()).fleet().self());
+        String configWithOtherAddress = VALID_CONFIG.replace("peer_listen = \"127.0.0.1:7946\"",
+                "peer_listen = \"127.0.0.9:1\"");
+        assertEquals(1,
+                read(configWithOtherAddress.replace("me = 0", "me = 1"), Map.of(), Map.of()).fleet().self());
     }
 
     @Test
-    void tellsAllThatIsWrongAtOnce() {
-        String bad = GOOD.replace("listen = \"127.0.0.1:9000\"", "listen = \"here\"")
+    void reportsAllErrorsAtOnce() {
+        String invalidConfig = VALID_CONFIG.replace("listen = \"127.0.0.1:9000\"", "listen = \"here\"")
                 .replace("sockets = 4096", "sockets = \"many\"\nsocks = 1")
                 .replace("probe_interval_ms = 250", "probe_interval_ms = 0\nprobe_interval = 5")
                 .replace("127.0.0.2:7946", "127.0.0.1:7946").replace("\"warn\"", "\"loud\"")
                 .replace("coldFrom = 0.5", "coldFrom = 7");
-        List<String> faults = assertThrows(Unusable.class, () -> read(bad, Map.of(), Map.of())).faults();
-        for (String wanted : List.of("listen: IP:PORT is wanted, not 'here'",
+        List<String> faults = assertThrows(Unusable.class, () -> read(invalidConfig, Map.of(), Map.of()))
+                .faults();
+        for (String expected : List.of("listen: IP:PORT is wanted, not 'here'",
                 "limits.sockets: a whole number from 1 to 2147483647 is wanted, not 'many'",
                 "limits.socks: no such key",
                 "membership.probe_interval_ms: a number from 1 to 600000 is wanted, not '0'",
                 "membership.probe_interval: no such key", "peers: 127.0.0.1:7946 stands twice",
                 "logs.level: one of trace, debug, info, warn, error is wanted, not 'loud'")) {
-            assertTrue(faults.contains(wanted), wanted + " is not in " + String.join("\n", faults));
+            assertTrue(faults.contains(expected), expected + " is not in " + String.join("\n", faults));
         }
         assertTrue(faults.stream().anyMatch(f -> f.startsWith("settings: ") && f.contains("coldFrom")),
                 faults.toString());
@@ -117,9 +121,9 @@
         "{\"name\": \"n\"}            | line 1, column",
         "name = \"a\" ~ name = \"b\"   | line 2",
     })
-    void saysWhereAFileIsNoToml(String text, String where) {
+    void reportsWhereAFileIsInvalidToml(String text, String expectedPosition) {
         Unusable e = assertThrows(Unusable.class, () -> read(text.replace("~", "\n"), Map.of(), Map.of()));
-        assertTrue(e.faults().get(0).contains(where), e.getMessage());
+        assertTrue(e.faults().get(0).contains(expectedPosition), e.getMessage());
         assertEquals(1, e.getMessage().lines().count(), e.getMessage());
     }
 }
--- a/src/test/java/larkworks/proxy/ConfigTest.java
+++ b/src/test/java/larkworks/proxy/ConfigTest.java
@@ -21,7 +21,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"1.2.3:9000", "2130706433:9000", "1.2.3.4.:9000", "[1.2.3.4]:9000",
         "localhost:9000", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", ":9000", "null"})
-    void takesNothingElseForAnAddress(String text) {
+    void rejectsAnyOtherTextAsAnAddress(String text) {
         assertThrows(IllegalArgumentException.class, () -> Config.address(text));
     }
 }
--- a/src/test/java/larkworks/proxy/DiscoveryTermsTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -21,56 +21,57 @@
  * the proxy, even if calls to discovery failed, hung or were reset in between.
  */
 @Timeout(180)
-class DiscoveryTermsTest {
+class DiscoveryDeadlinesTest {
 
     /**
      * A change counts as delivered this long after a reachable discovery had it, or after the watch that
      * should have reported it stopped receiving.
      */
-    private static final long TOLD_MS = 6_000;
+    private static final long DELIVERY_LIMIT_MS = 6_000;
     /** Maximum measurements; the best one counts, as a busy machine only makes a measured time longer. */
-    private static final int TRIES = 3;
+    private static final int MAX_TRIES = 3;
     /** The number of backends in the largest deployment that is tested. */
-    private static final int MANY = 1_100;
+    private static final int LARGE_LIST_SIZE = 1_100;
 
     @TempDir
     Path folder;
 
     /** An action that returns its duration. */
-    private interface Measured {
-        long ms() throws Exception;
+    private interface TimedAction {
+        long runMs() throws Exception;
     }
 
-    private static void assertWithin(long boundMs, Measured what) throws Exception {
-        List<Long> tookMs = new ArrayList<>();
+    private static void assertBestTryWithin(long limitMs, TimedAction action) throws Exception {
+        List<Long> durationsMs = new ArrayList<>();
         do {
-            tookMs.add(what.ms());
-        } while (tookMs.get(tookMs.size() - 1) >= boundMs && tookMs.size() < TRIES);
-        assertTrue(tookMs.get(tookMs.size() - 1) < boundMs, "every try took too long, in ms: " + tookMs);
+            durationsMs.add(action.runMs());
+        } while (durationsMs.get(durationsMs.size() - 1) >= limitMs && durationsMs.size() < MAX_TRIES);
+        assertTrue(durationsMs.get(durationsMs.size() - 1) < limitMs,
+                "every try took too long, in ms: " + durationsMs);
     }
 
-    private static long sinceMs(long nanos) {
-        return (System.nanoTime() - nanos) / 1_000_000;
+    private static long elapsedMs(long startNs) {
+        return (System.nanoTime() - startNs) / 1_000_000;
     }
 
     /** Awaits the call that proves that the list with this index was accepted, and returns it. */
-    private static Peer.Message afterTaking(Bench bench, int index) throws Exception {
-        Peer.Message next = bench.discovery.next();
-        assertTrue(next.line().contains("?index=" + index + "&"), next.line());
-        return next;
+    private static Peer.Message awaitCallAfterList(Bench bench, int index) throws Exception {
+        Peer.Message call = bench.discovery.next();
+        assertTrue(call.line().contains("?index=" + index + "&"), call.line());
+        return call;
     }
 
     /** Makes a call fail: resets or closes its connection, or answers it without a list. */
-    private static void fail(Peer.Message call, String how) throws Exception {
-        switch (how) {
+    private static void failCall(Peer.Message call, String failure) throws Exception {
+        switch (failure) {
             case "reset" -> call.reset();
             case "end" -> call.socket().close();
             case "empty" -> call.reply(200, "");
-            default -> call.reply(Integer.parseInt(how), "");
+            default -> call.reply(Integer.parseInt(failure), "");
         }
     }
 
-    private static String drained(Bench bench, int index) {
+    private static String listWithFirstDraining(Bench bench, int index) {
         return Bench.list(index, true, bench.entry(0, "terminating"), bench.entry(1, "in_service"));
     }
 
@@ -86,7 +87,8 @@
      */
     @ParameterizedTest
     @CsvSource({"pushed,503", "pushed,reset", "on_request,503", "on_request,end"})
-    void hearsOfADrainInTimeThoughTheFirstCallAfterAnOutageHangs(String mode, String how) throws Exception {
+    void appliesADrainInTimeThoughTheFirstCallAfterAnOutageHangs(String mode, String failure)
+            throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.mode = mode;
             bench.drainGraceUs = 5_000_000;
@@ -94,15 +96,15 @@
             bench.start(folder);
             bench.discovery.next().reply(200, bench.all(1));
             int[] index = {1};
-            assertWithin(TOLD_MS, () -> {
+            assertBestTryWithin(DELIVERY_LIMIT_MS, () -> {
                 for (int i = 0; i < 5; i++) {
-                    fail(bench.discovery.next(), how);
+                    failCall(bench.discovery.next(), failure);
                 }
-                long back = System.nanoTime();
+                long recoveredNs = System.nanoTime();
                 bench.discovery.next();
-                bench.discovery.next().reply(200, drained(bench, ++index[0]));
-                Peer.Message watch = afterTaking(bench, index[0]);
-                long tookMs = sinceMs(back);
+                bench.discovery.next().reply(200, listWithFirstDraining(bench, ++index[0]));
+                Peer.Message watch = awaitCallAfterList(bench, index[0]);
+                long tookMs = elapsedMs(recoveredNs);
                 assertServedBy(bench, 1);
                 watch.reply(200, bench.all(++index[0]));
                 return tookMs;
@@ -115,28 +117,28 @@
      * a drain right after the start.
      */
     @Test
-    void watchesFromTheListInItsConfigurationWhereListsAreAskedFor() throws Exception {
+    void watchesFromTheConfiguredListInOnRequestMode() throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.mode = "on_request";
             bench.start(folder, bench.all(7));
-            Peer.Message first = afterTaking(bench, 7);
-            first.reply(200, Bench.list(8, false, bench.entry(0, "terminating")));
-            afterTaking(bench, 8);
+            Peer.Message watch = awaitCallAfterList(bench, 7);
+            watch.reply(200, Bench.list(8, false, bench.entry(0, "terminating")));
+            awaitCallAfterList(bench, 8);
             assertServedBy(bench, 1);
         }
     }
 
     /** Discovery may no longer know the index of the list in the configuration, and then answers 404. */
     @Test
-    void asksForTheWholeListWhereTheVersionInItsConfigurationIsRefused() throws Exception {
+    void requestsTheFullListIfTheConfiguredIndexIsRejected() throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.mode = "on_request";
             bench.start(folder, bench.all(7));
-            afterTaking(bench, 7).reply(404, "");
-            Peer.Message whole = bench.discovery.next();
-            assertEquals("GET /registry/instances HTTP/1.1", whole.line());
-            whole.reply(200, drained(bench, 2));
-            afterTaking(bench, 2);
+            awaitCallAfterList(bench, 7).reply(404, "");
+            Peer.Message fullListCall = bench.discovery.next();
+            assertEquals("GET /registry/instances HTTP/1.1", fullListCall.line());
+            fullListCall.reply(200, listWithFirstDraining(bench, 2));
+            awaitCallAfterList(bench, 2);
             assertServedBy(bench, 1);
         }
     }
@@ -147,7 +149,7 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
-    void waitsForAListFromADiscoveryThatIsSlow(String mode) throws Exception {
+    void waitsForAListFromASlowDiscovery(String mode) throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.mode = mode;
             bench.start(folder);
@@ -155,8 +157,8 @@
             Peer.Message call = bench.discovery.next();
             // The first call timed out after 2 s; the second must still be open after 2.6 s.
             Thread.sleep(2_600);
-            call.reply(200, drained(bench, 2));
-            afterTaking(bench, 2);
+            call.reply(200, listWithFirstDraining(bench, 2));
+            awaitCallAfterList(bench, 2);
             assertServedBy(bench, 1);
         }
     }
@@ -167,26 +169,26 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
-    void hearsInTimeOfWhatALateSilentWatchMissedThoughItsReopeningFails(String mode) throws Exception {
+    void appliesInTimeADrainMissedByAHangingWatchThoughItsReopeningFails(String mode) throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.mode = mode;
             bench.start(folder);
             bench.discovery.next().reply(200, bench.all(1));
             int[] index = {1};
-            assertWithin(TOLD_MS, () -> {
+            assertBestTryWithin(DELIVERY_LIMIT_MS, () -> {
                 for (int i = 0; i < 4; i++) {
-                    Peer.Message watch = afterTaking(bench, index[0]);
+                    Peer.Message watch = awaitCallAfterList(bench, index[0]);
                     watch.reply(200, Bench.list(++index[0], false));
                 }
-                Peer.Message silent = afterTaking(bench, index[0]);
-                long fellSilent = System.nanoTime();
-                silent.awaitEnd();
+                Peer.Message hangingWatch = awaitCallAfterList(bench, index[0]);
+                long hangStartNs = System.nanoTime();
+                hangingWatch.awaitEnd();
                 bench.discovery.next().reply(503, "");
-                bench.discovery.next().reply(200, drained(bench, ++index[0]));
-                Peer.Message watch = afterTaking(bench, index[0]);
-                long tookMs = sinceMs(fellSilent);
+                bench.discovery.next().reply(200, listWithFirstDraining(bench, ++index[0]));
+                Peer.Message nextWatch = awaitCallAfterList(bench, index[0]);
+                long tookMs = elapsedMs(hangStartNs);
                 assertServedBy(bench, 1);
-                watch.reply(200, bench.all(++index[0]));
+                nextWatch.reply(200, bench.all(++index[0]));
                 return tookMs;
             });
         }
@@ -199,54 +201,55 @@
     @ParameterizedTest
     @CsvSource({"pushed,reset", "pushed,end", "pushed,empty", "on_request,reset", "on_request,end",
         "on_request,empty"})
-    void sendsNothingMoreToWhatAWholeListLeavesOutAfterAWatchEnded(String mode, String how)
+    void sendsNothingToABackendMissingFromTheFullListAfterAWatchEnded(String mode, String failure)
             throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.mode = mode;
             bench.probes = true;
             bench.start(folder);
             bench.discovery.next().reply(200, bench.all(1));
-            Peer.Message watch = afterTaking(bench, 1);
+            Peer.Message watch = awaitCallAfterList(bench, 1);
             Bench.Client client = bench.client().look("in flight");
-            int left = -1;
+            int removed = -1;
             Peer.Message inFlight = null;
             while (inFlight == null) {
-                left = bench.awaitBackend();
-                Peer.Message came = bench.backends.get(left).next();
-                if (came.line().startsWith("GET /stats")) {
-                    came.reply(200, "inflight=0");
+                removed = bench.awaitBackend();
+                Peer.Message request = bench.backends.get(removed).next();
+                if (request.line().startsWith("GET /stats")) {
+                    request.reply(200, "inflight=0");
                 } else {
-                    inFlight = came;
+                    inFlight = request;
                 }
             }
-            fail(watch, how);
-            bench.discovery.next().reply(200, Bench.list(2, true, bench.entry(1 - left, "in_service")));
-            afterTaking(bench, 2);
+            failCall(watch, failure);
+            bench.discovery.next().reply(200, Bench.list(2, true, bench.entry(1 - removed, "in_service")));
+            awaitCallAfterList(bench, 2);
             bench.settle();
-            Peer still = bench.backends.get(left);
-            while (still.waiting() > 0) {
-                assertTrue(still.next().line().startsWith("GET /stats"),
+            Peer removedBackend = bench.backends.get(removed);
+            while (removedBackend.waiting() > 0) {
+                assertTrue(removedBackend.next().line().startsWith("GET /stats"),
                         "only probes from before the new list may be pending");
             }
-            int connections = still.connections();
+            int connections = removedBackend.connections();
             for (int i = 0; i < 10; i++) {
-                serveByOther(bench, 1 - left, "r" + i);
+                serveByBackend(bench, 1 - removed, "r" + i);
             }
-            assertEquals(0, still.waiting(), "the removed backend must receive neither requests nor probes");
-            assertEquals(connections, still.connections());
+            assertEquals(0, removedBackend.waiting(),
+                    "the removed backend must receive neither requests nor probes");
+            assertEquals(connections, removedBackend.connections());
             inFlight.reply(200, "finished");
             assertEquals("finished", client.answer().text());
         }
     }
 
-    private static void serveByOther(Bench bench, int backend, String id) throws Exception {
+    private static void serveByBackend(Bench bench, int backend, String id) throws Exception {
         Bench.Client client = bench.client().look(id);
-        Peer.Message came = bench.backends.get(backend).next();
-        while (came.line().startsWith("GET /stats")) {
-            came.reply(200, "inflight=0");
-            came = bench.backends.get(backend).next();
+        Peer.Message request = bench.backends.get(backend).next();
+        while (request.line().startsWith("GET /stats")) {
+            request.reply(200, "inflight=0");
+            request = bench.backends.get(backend).next();
         }
-        came.reply(200, "");
+        request.reply(200, "");
         assertEquals(200, client.status());
     }
 
@@ -256,18 +259,19 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"left out", "terminated"})
-    void endsAConnectingAttemptToABackendThatIsGone(String how) throws Exception {
-        try (Bench bench = new Bench(1); Hanging gone = new Hanging()) {
+    void movesAConnectingAttemptAwayFromARemovedBackend(String removal) throws Exception {
+        try (Bench bench = new Bench(1); Hanging hangingBackend = new Hanging()) {
             bench.connectTimeoutUs = 25_000_000;
             bench.drainGraceUs = 60_000_000;
-            String up = Bench.list(1, true, Bench.entry("b", gone.address(), "in_service"));
-            bench.start(folder, up);
-            bench.discovery.next().reply(200, up);
-            Peer.Message watch = afterTaking(bench, 1);
+            String initialList = Bench.list(1, true,
+                    Bench.entry("b", hangingBackend.address(), "in_service"));
+            bench.start(folder, initialList);
+            bench.discovery.next().reply(200, initialList);
+            Peer.Message watch = awaitCallAfterList(bench, 1);
             Bench.Client client = bench.client().look("r");
             bench.settle();
-            watch.reply(200, how.equals("left out") ? Bench.list(2, true, bench.entry(0, "in_service"))
-                    : Bench.list(2, false, Bench.entry("b", gone.address(), "terminated"),
+            watch.reply(200, removal.equals("left out") ? Bench.list(2, true, bench.entry(0, "in_service"))
+                    : Bench.list(2, false, Bench.entry("b", hangingBackend.address(), "terminated"),
                             bench.entry(0, "in_service")));
             bench.backends.get(0).next().reply(200, "elsewhere");
             assertEquals("elsewhere", client.answer().text());
@@ -277,15 +281,15 @@
     /** A watch is reset before a backend begins to drain, so only the reopened watch can report the drain. */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
-    void hearsOfADrainSoonAfterItsWatchWasReset(String mode) throws Exception {
+    void appliesADrainSoonAfterItsWatchWasReset(String mode) throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.mode = mode;
             bench.start(folder);
             bench.discovery.next().reply(200, bench.all(1));
-            afterTaking(bench, 1).reset();
-            Peer.Message again = afterTaking(bench, 1);
-            again.reply(200, Bench.list(2, false, bench.entry(0, "terminating")));
-            afterTaking(bench, 2);
+            awaitCallAfterList(bench, 1).reset();
+            Peer.Message reopenedWatch = awaitCallAfterList(bench, 1);
+            reopenedWatch.reply(200, Bench.list(2, false, bench.entry(0, "terminating")));
+            awaitCallAfterList(bench, 2);
             assertServedBy(bench, 1);
         }
     }
@@ -296,46 +300,47 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
-    void hearsOfDrainsRightAfterAReload(String mode) throws Exception {
+    void appliesADrainRightAfterAReload(String mode) throws Exception {
         int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer other = new Peer()) {
+        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
             bench.mode = mode;
             bench.at(port);
             String config = bench.config(port, bench.all(1));
             Path file = Files.writeString(folder.resolve("config.json"), config);
             try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
                 bench.discovery.next().reply(200, bench.all(1));
-                afterTaking(bench, 1);
-                int[] index = {1};
-                int[] held = {1};
-                String[] at = {bench.discovery.address(), other.address()};
-                assertWithin(4_000, () -> {
-                    String to = at[index[0] % 2];
-                    Peer service = to.equals(other.address()) ? other : bench.discovery;
-                    Files.writeString(file, config.replace(bench.discovery.address(), to));
+                awaitCallAfterList(bench, 1);
+                int[] reloads = {1};
+                int[] listIndex = {1};
+                String[] addresses = {bench.discovery.address(), otherDiscovery.address()};
+                assertBestTryWithin(4_000, () -> {
+                    String newAddress = addresses[reloads[0] % 2];
+                    Peer newDiscovery = newAddress.equals(otherDiscovery.address()) ? otherDiscovery
+                            : bench.discovery;
+                    Files.writeString(file, config.replace(bench.discovery.address(), newAddress));
                     proxy.signal("HUP");
-                    Peer.Message swallowed = service.next();
-                    long reloaded = System.nanoTime();
-                    assertAsksFrom(held[0], swallowed);
-                    Peer.Message again = service.next();
-                    assertAsksFrom(held[0], again);
-                    again.reply(200, bench.all(held[0] + 1));
-                    held[0] += 2;
-                    service.next().reply(200,
-                            Bench.list(held[0], false, bench.entry(0, "terminating")));
-                    service.next();
-                    long tookMs = sinceMs(reloaded);
-                    Program.await(20, proxy.lines::toString, () -> listens(bench));
+                    Peer.Message unansweredCall = newDiscovery.next();
+                    long reloadNs = System.nanoTime();
+                    assertWatchesFrom(listIndex[0], unansweredCall);
+                    Peer.Message repeatedCall = newDiscovery.next();
+                    assertWatchesFrom(listIndex[0], repeatedCall);
+                    repeatedCall.reply(200, bench.all(listIndex[0] + 1));
+                    listIndex[0] += 2;
+                    newDiscovery.next().reply(200,
+                            Bench.list(listIndex[0], false, bench.entry(0, "terminating")));
+                    newDiscovery.next();
+                    long tookMs = elapsedMs(reloadNs);
+                    Program.await(20, proxy.lines::toString, () -> isReady(bench));
                     assertServedBy(bench, 1);
-                    index[0]++;
+                    reloads[0]++;
                     return tookMs;
                 });
             }
         }
     }
 
-    private static void assertAsksFrom(int version, Peer.Message call) {
-        assertTrue(call.line().contains("?index=" + version + "&"), call.line());
+    private static void assertWatchesFrom(int index, Peer.Message call) {
+        assertTrue(call.line().contains("?index=" + index + "&"), call.line());
     }
 
     /**
@@ -344,37 +349,37 @@
      */
     @ParameterizedTest
     @CsvSource({"pushed,lower", "pushed,404", "on_request,lower", "on_request,404"})
-    void asksForTheWholeListWhereTheVersionHeldIsNoneOfTheNewAddress(String mode, String how)
+    void requestsTheFullListIfTheNewDiscoveryDoesNotKnowTheIndex(String mode, String response)
             throws Exception {
         int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer other = new Peer()) {
+        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
             bench.mode = mode;
             bench.at(port);
             String config = bench.config(port, bench.all(7));
             Path file = Files.writeString(folder.resolve("config.json"), config);
             try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
                 bench.discovery.next().reply(200, Bench.list(7, false));
-                afterTaking(bench, 7);
-                Files.writeString(file, config.replace(bench.discovery.address(), other.address()));
+                awaitCallAfterList(bench, 7);
+                Files.writeString(file, config.replace(bench.discovery.address(), otherDiscovery.address()));
                 proxy.signal("HUP");
-                Peer.Message first = other.next();
-                assertAsksFrom(7, first);
-                if (how.equals("lower")) {
-                    first.reply(200, Bench.list(3, false));
+                Peer.Message firstCall = otherDiscovery.next();
+                assertWatchesFrom(7, firstCall);
+                if (response.equals("lower")) {
+                    firstCall.reply(200, Bench.list(3, false));
                 } else {
-                    first.reply(Integer.parseInt(how), "");
+                    firstCall.reply(Integer.parseInt(response), "");
                 }
-                Peer.Message whole = other.next();
-                assertEquals("GET /registry/instances HTTP/1.1", whole.line());
-                whole.reply(200, drained(bench, 3));
-                assertAsksFrom(3, other.next());
-                Program.await(20, proxy.lines::toString, () -> listens(bench));
+                Peer.Message fullListCall = otherDiscovery.next();
+                assertEquals("GET /registry/instances HTTP/1.1", fullListCall.line());
+                fullListCall.reply(200, listWithFirstDraining(bench, 3));
+                assertWatchesFrom(3, otherDiscovery.next());
+                Program.await(20, proxy.lines::toString, () -> isReady(bench));
                 assertServedBy(bench, 1);
             }
         }
     }
 
-    private static boolean listens(Bench bench) {
+    private static boolean isReady(Bench bench) {
         try {
             return bench.client().send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
         } catch (java.io.IOException e) {
@@ -384,13 +389,13 @@
 
     /** The lists span many lines and arrive in parts whose boundaries may lie within a JSON token. */
     @Test
-    void takesAListThatIsIndented() throws Exception {
+    void readsAnIndentedList() throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.start(folder);
-            sendIndented(bench.discovery.next(), drained(bench, 2));
-            sendIndented(afterTaking(bench, 2), Bench.list(3, false, bench.entry(1, "terminating"),
+            sendIndented(bench.discovery.next(), listWithFirstDraining(bench, 2));
+            sendIndented(awaitCallAfterList(bench, 2), Bench.list(3, false, bench.entry(1, "terminating"),
                     bench.entry(0, "in_service")));
-            afterTaking(bench, 3);
+            awaitCallAfterList(bench, 3);
             assertServedBy(bench, 0);
         }
     }
@@ -399,31 +404,31 @@
         String text = list.replace("{", "{\r\n\t  ").replace("[", "[\n").replace(",", " ,\n    ")
                 .replace("\":", "\" :\t").replace("}", "\n  }").replace("]", "\n]\n");
         call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n");
-        int pieces = 20;
-        for (int i = 0; i < pieces; i++) {
-            call.raw(text.substring(text.length() * i / pieces, text.length() * (i + 1) / pieces));
+        int parts = 20;
+        for (int i = 0; i < parts; i++) {
+            call.raw(text.substring(text.length() * i / parts, text.length() * (i + 1) / parts));
         }
     }
 
     /** Sends many backends as a full list, and then as changes that drain nearly all of them. */
     @Test
-    void takesAListOfManyBackends() throws Exception {
+    void appliesAListOfManyBackends() throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.start(folder);
-            sendIndented(bench.discovery.next(), many(bench, 2, true, "in_service"));
-            sendIndented(afterTaking(bench, 2), many(bench, 3, false, "terminating"));
-            afterTaking(bench, 3);
+            sendIndented(bench.discovery.next(), largeList(bench, 2, true, "in_service"));
+            sendIndented(awaitCallAfterList(bench, 2), largeList(bench, 3, false, "terminating"));
+            awaitCallAfterList(bench, 3);
             assertServedBy(bench, 1);
         }
     }
 
     /** A list of the first backend under many names with the given status, and of the second in service. */
-    private static String many(Bench bench, int index, boolean whole, String status) {
-        String[] entries = new String[MANY + 1];
-        for (int i = 0; i < MANY; i++) {
+    private static String largeList(Bench bench, int index, boolean isFull, String status) {
+        String[] entries = new String[LARGE_LIST_SIZE + 1];
+        for (int i = 0; i < LARGE_LIST_SIZE; i++) {
             entries[i] = Bench.entry("many-" + i, bench.backends.get(0).address(), status);
         }
-        entries[MANY] = bench.entry(1, "in_service");
-        return Bench.list(index, whole, entries);
+        entries[LARGE_LIST_SIZE] = bench.entry(1, "in_service");
+        return Bench.list(index, isFull, entries);
     }
 }
--- a/src/test/java/larkworks/proxy/DiscoveryStandIn.java
+++ b/src/test/java/larkworks/proxy/DiscoveryStub.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** A discovery service for experiments with real processes, which answers in one way, slow or failing too. */
-final class DiscoveryStandIn implements AutoCloseable {
+final class DiscoveryStub implements AutoCloseable {
 
     /** How calls for the full list are answered; watches are held open and answered without changes. */
-    enum Way {
+    enum ResponseMode {
         /** Answers immediately. */
         AT_ONCE,
-        /** Answers each call after {@link #SLOW_MS}, all calls in parallel. */
+        /** Answers each call after {@link #SLOW_RESPONSE_MS}, all calls in parallel. */
         SLOW,
-        /** Answers calls one by one, and takes {@link #TURN_MS} for each. */
+        /** Answers calls one by one, and takes {@link #SERIAL_RESPONSE_MS} for each. */
         IN_TURN,
         /** Answers with status 503. */
         BUSY,
-        /** Sends one byte at a time, with {@link #DRIP_MS} after each. */
+        /** Sends one byte at a time, with {@link #BYTE_INTERVAL_MS} after each. */
         DRIPPING,
         /** Accepts calls and never answers. */
         HANGING,
@@ -31,32 +31,32 @@
         DOWN
     }
 
-    private static final long SLOW_MS = 3_000;
-    private static final long TURN_MS = 200;
-    private static final long DRIP_MS = 400;
+    private static final long SLOW_RESPONSE_MS = 3_000;
+    private static final long SERIAL_RESPONSE_MS = 200;
+    private static final long BYTE_INTERVAL_MS = 400;
 
     /** The number of calls for the full list so far. */
-    final AtomicInteger calls = new AtomicInteger();
-    private final Way way;
+    final AtomicInteger fullListCalls = new AtomicInteger();
+    private final ResponseMode mode;
     private final byte[] list;
     private final HttpServer server;
     private final String address;
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "discovery");
         thread.setDaemon(true);
         return thread;
     });
 
-    DiscoveryStandIn(Way way, String list) throws IOException {
-        this.way = way;
+    DiscoveryStub(ResponseMode mode, String list) throws IOException {
+        this.mode = mode;
         this.list = list.getBytes(StandardCharsets.UTF_8);
         server = HttpServer.create(new InetSocketAddress(Bench.HOST, 0), 1_024);
-        server.setExecutor(threads);
-        server.createContext("/", this::answer);
+        server.setExecutor(executor);
+        server.createContext("/", this::handle);
         // HttpServer.stop() closes the port only of a server that was started; connections would hang.
         server.start();
         address = Bench.HOST + ":" + server.getAddress().getPort();
-        if (way == Way.DOWN) {
+        if (mode == ResponseMode.DOWN) {
             server.stop(0);
         }
     }
@@ -65,7 +65,7 @@
         return address;
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void handle(HttpExchange exchange) throws IOException {
         String query = exchange.getRequestURI().getQuery();
         try {
             if (query != null) {
@@ -73,18 +73,19 @@
                 send(exchange, 200, Bench.list(2, false).getBytes(StandardCharsets.UTF_8), 0);
                 return;
             }
-            calls.incrementAndGet();
-            switch (way) {
-                case SLOW -> Thread.sleep(SLOW_MS);
+            fullListCalls.incrementAndGet();
+            switch (mode) {
+                case SLOW -> Thread.sleep(SLOW_RESPONSE_MS);
                 case IN_TURN -> {
                     synchronized (this) {
-                        Thread.sleep(TURN_MS);
+                        Thread.sleep(SERIAL_RESPONSE_MS);
                     }
                 }
                 case HANGING -> Thread.sleep(Long.MAX_VALUE);
                 default -> { }
             }
-            send(exchange, way == Way.BUSY ? 503 : 200, list, way == Way.DRIPPING ? DRIP_MS : 0);
+            send(exchange, mode == ResponseMode.BUSY ? 503 : 200, list,
+                    mode == ResponseMode.DRIPPING ? BYTE_INTERVAL_MS : 0);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -94,11 +95,11 @@
             throws IOException, InterruptedException {
         exchange.sendResponseHeaders(status, body.length);
         OutputStream out = exchange.getResponseBody();
-        for (int from = 0; from < body.length;) {
-            int part = pauseMs > 0 ? 1 : body.length;
-            out.write(body, from, part);
+        for (int offset = 0; offset < body.length;) {
+            int length = pauseMs > 0 ? 1 : body.length;
+            out.write(body, offset, length);
             out.flush();
-            from += part;
+            offset += length;
             Thread.sleep(pauseMs);
         }
         exchange.close();
@@ -106,9 +107,9 @@
 
     @Override
     public void close() {
-        if (way != Way.DOWN) {
+        if (mode != ResponseMode.DOWN) {
             server.stop(0);
         }
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/test/java/larkworks/proxy/FailOverTest.java
+++ b/src/test/java/larkworks/proxy/FailOverTest.java
@@ -13,8 +13,8 @@
 @Timeout(60)
 class FailOverTest {
 
-    private static final String WHOLE = "GET /registry/instances HTTP/1.1";
-    private static final String EPOCH = "X-Registry-Epoch: one";
+    private static final String FULL_LIST_REQUEST = "GET /registry/instances HTTP/1.1";
+    private static final String EPOCH_HEADER = "X-Registry-Epoch: one";
 
     @TempDir
     Path folder;
@@ -24,74 +24,74 @@
     }
 
     @Test
-    void aWatchGoesOnAtAnotherReplicaFromTheVersionHeld() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+    void aWatchContinuesAtAnotherReplicaFromTheLastIndex() throws Exception {
+        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
+            bench.others = List.of(secondReplica);
             bench.start(folder);
             Peer.Message call = bench.discovery.next();
             assertWatches(1, call);
-            call.reply(200, bench.all(7), EPOCH);
+            call.reply(200, bench.all(7), EPOCH_HEADER);
             call = bench.discovery.next();
             assertWatches(7, call);
             call.reset();
-            call = second.next();
+            call = secondReplica.next();
             assertWatches(7, call);
-            call.reply(200, Bench.list(9, false, bench.entry(0, "terminating")), EPOCH);
-            assertWatches(9, second.next());
+            call.reply(200, Bench.list(9, false, bench.entry(0, "terminating")), EPOCH_HEADER);
+            assertWatches(9, secondReplica.next());
         }
     }
 
     @Test
-    void theWholeListIsWantedOnceAllReplicasRefuseTheVersionHeld() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+    void theFullListIsRequestedOnceAllReplicasRejectTheIndex() throws Exception {
+        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
+            bench.others = List.of(secondReplica);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH);
+            bench.discovery.next().reply(200, bench.all(7), EPOCH_HEADER);
             bench.discovery.next().reply(503, "{}");
-            Peer.Message call = second.next();
+            Peer.Message call = secondReplica.next();
             assertWatches(7, call);
             call.reset();  // a reset does not say whether the index is known
             call = bench.discovery.next();
             assertWatches(7, call);
             call.reply(503, "{}");
-            assertEquals(WHOLE, second.next().line());
+            assertEquals(FULL_LIST_REQUEST, secondReplica.next().line());
         }
     }
 
     @Test
-    void servicesThatTellNoEpochAreAskedForTheWholeList() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+    void theFullListIsRequestedFromServicesWithoutAnEpoch() throws Exception {
+        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
+            bench.others = List.of(secondReplica);
             bench.start(folder);
             bench.discovery.next().reply(200, bench.all(7));
             bench.discovery.next().reset();
-            assertEquals(WHOLE, second.next().line());
+            assertEquals(FULL_LIST_REQUEST, secondReplica.next().line());
         }
     }
 
     @Test
-    void aReplicaThatHearsNoLeaderIsLeftForAnother() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+    void aStaleReplicaIsAbandonedForAnother() throws Exception {
+        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
+            bench.others = List.of(secondReplica);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH, "X-Registry-Stale: true");
-            Peer.Message call = second.next();
+            bench.discovery.next().reply(200, bench.all(7), EPOCH_HEADER, "X-Registry-Stale: true");
+            Peer.Message call = secondReplica.next();
             assertWatches(7, call);
             assertEquals(0, bench.discovery.waiting(), "the stale replica must not receive a watch");
-            call.reply(200, Bench.list(8, false, bench.entry(0, "terminating")), EPOCH);
-            assertWatches(8, second.next());
+            call.reply(200, Bench.list(8, false, bench.entry(0, "terminating")), EPOCH_HEADER);
+            assertWatches(8, secondReplica.next());
         }
     }
 
     @Test
-    void changesOfAnotherEpochAreNotTaken() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+    void changesOfAnotherEpochAreIgnored() throws Exception {
+        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
+            bench.others = List.of(secondReplica);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH);
+            bench.discovery.next().reply(200, bench.all(7), EPOCH_HEADER);
             bench.discovery.next().reset();
-            second.next().reply(200, Bench.list(9, false), "X-Registry-Epoch: two");
-            assertEquals(WHOLE, bench.discovery.next().line());
+            secondReplica.next().reply(200, Bench.list(9, false), "X-Registry-Epoch: two");
+            assertEquals(FULL_LIST_REQUEST, bench.discovery.next().line());
         }
     }
 }
--- a/src/test/java/larkworks/proxy/LargeFleet.java
+++ b/src/test/java/larkworks/proxy/LargeFleet.java
@@ -8,7 +8,7 @@
 final class LargeFleet {
 
     /** Peers in one /24 network; each peer has an IP address of its own, at which nothing listens. */
-    private static final int PEERS_A_NET = 250;
+    private static final int PEERS_PER_NETWORK = 250;
 
     private LargeFleet() { }
 
@@ -16,15 +16,15 @@
      * Returns a full list or changes as indented JSON with long names, about 300 bytes for each server;
      * servers whose status is null are omitted.
      */
-    static String list(int index, boolean whole, int size, IntFunction<String> address,
-            IntFunction<String> status) {
+    static String list(int index, boolean isFull, int size, IntFunction<String> addressOf,
+            IntFunction<String> statusOf) {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            if (status.apply(i) != null) {
-                entries.add(entry(i, address.apply(i), status.apply(i)));
+            if (statusOf.apply(i) != null) {
+                entries.add(entry(i, addressOf.apply(i), statusOf.apply(i)));
             }
         }
-        return "{\n    \"index\": " + index + ",\n    \"snapshot\": " + whole + ",\n"
+        return "{\n    \"index\": " + index + ",\n    \"snapshot\": " + isFull + ",\n"
                 + "    \"endpoints\": [" + String.join(",", entries) + "\n    ]\n}";
     }
 
@@ -38,13 +38,14 @@
     }
 
     /** Returns the JSON settings that make a proxy one of {@code size} members; they end with a comma. */
-    static String membership(int size, int own, String listen) {
+    static String membership(int size, int ownIndex, String listenAddress) {
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            peers.add('"' + (i == own ? listen
-                    : "127.31." + (100 + i / PEERS_A_NET) + "." + (1 + i % PEERS_A_NET) + ":7946") + '"');
+            peers.add('"' + (i == ownIndex ? listenAddress
+                    : "127.31." + (100 + i / PEERS_PER_NETWORK) + "." + (1 + i % PEERS_PER_NETWORK) + ":7946")
+                            + '"');
         }
-        return "\"peer_listen\":\"" + listen + "\",\"peers\":[" + String.join(",", peers) + "],\"member\":"
-                + own + ",\"membership\":{},";
+        return "\"peer_listen\":\"" + listenAddress + "\",\"peers\":[" + String.join(",", peers)
+                + "],\"member\":" + ownIndex + ",\"membership\":{},";
     }
 }
--- a/src/test/java/larkworks/proxy/LargeFleetTest.java
+++ b/src/test/java/larkworks/proxy/LargeFleetTest.java
@@ -18,75 +18,76 @@
 @Timeout(120)
 class LargeFleetTest {
 
-    private static final int SIZE = 1_100;
+    private static final int FLEET_SIZE = 1_100;
     /** Sockets that serve the servers' addresses; each stands for the same number of servers. */
     private static final int LISTENERS = 10;
-    private static final int REQUESTS = 30;
+    private static final int REQUESTS_PER_CHECK = 30;
 
     @TempDir
     Path folder;
 
-    private static String address(Bench bench, int server) {
+    private static String addressOf(Bench bench, int server) {
         return bench.backends.get(server % LISTENERS).address();
     }
 
     /** Sends requests one by one and asserts that this listener serves them all; -1 stands for any. */
-    private static void serve(Bench bench, int listener) throws Exception {
-        for (int i = 0; i < REQUESTS; i++) {
-            int by = bench.served();
-            assertTrue(listener < 0 || by == listener, "served by " + by);
+    private static void assertServedBy(Bench bench, int listener) throws Exception {
+        for (int i = 0; i < REQUESTS_PER_CHECK; i++) {
+            int servedBy = bench.served();
+            assertTrue(listener < 0 || servedBy == listener, "served by " + servedBy);
         }
     }
 
     @Test
-    void servesAmongAThousandServersAndPeersTakesChangesToAllAndDrains() throws Exception {
+    void appliesChangesAndDrainsWithOver1000ServersAndPeers() throws Exception {
         try (Bench bench = new Bench(LISTENERS)) {
-            int admin = Bench.freePort();
-            bench.copies = SIZE;
-            bench.more = LargeFleet.membership(SIZE, 0, Bench.HOST + ":" + Bench.freePort());
-            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR",
+            int adminPort = Bench.freePort();
+            bench.copies = FLEET_SIZE;
+            bench.more = LargeFleet.membership(FLEET_SIZE, 0, Bench.HOST + ":" + Bench.freePort());
+            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR",
                     folder.toString());
-            CompletableFuture<Peer.Message> told = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<Peer.Message> watchCall = CompletableFuture.supplyAsync(() -> {
                 try {
-                    Peer.Message asked = bench.discovery.next();
-                    asked.reply(200, LargeFleet.list(2, true, SIZE, i -> address(bench, i),
+                    Peer.Message firstCall = bench.discovery.next();
+                    firstCall.reply(200, LargeFleet.list(2, true, FLEET_SIZE, i -> addressOf(bench, i),
                             i -> "in_service"));
                     return bench.discovery.next();
                 } catch (InterruptedException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            bench.start(folder, LargeFleet.list(1, true, SIZE, i -> address(bench, i), i -> "in_service"));
-            Peer.Message watch = told.get(Peer.LIMIT_S, TimeUnit.SECONDS);
+            bench.start(folder,
+                    LargeFleet.list(1, true, FLEET_SIZE, i -> addressOf(bench, i), i -> "in_service"));
+            Peer.Message watch = watchCall.get(Peer.LIMIT_S, TimeUnit.SECONDS);
             assertTrue(watch.line().contains("?index=2&"), watch.line());
-            assertEquals(SIZE, members(admin), "each peer must be among the members");
-            serve(bench, -1);
+            assertEquals(FLEET_SIZE, memberCount(adminPort), "each peer must be among the members");
+            assertServedBy(bench, -1);
 
             // One change covers all servers: those of listener 3 stay in service, all others drain.
-            watch.reply(200, LargeFleet.list(3, false, SIZE, i -> address(bench, i),
+            watch.reply(200, LargeFleet.list(3, false, FLEET_SIZE, i -> addressOf(bench, i),
                     i -> i % LISTENERS == 3 ? "in_service" : "terminating"));
             watch = bench.discovery.next();
             assertTrue(watch.line().contains("?index=3&"), watch.line());
-            serve(bench, 3);
+            assertServedBy(bench, 3);
 
             // A full list contains only the servers of listener 7, which drained and are now in service.
-            watch.reply(200, LargeFleet.list(4, true, SIZE, i -> address(bench, i),
+            watch.reply(200, LargeFleet.list(4, true, FLEET_SIZE, i -> addressOf(bench, i),
                     i -> i % LISTENERS == 7 ? "in_service" : null));
             watch = bench.discovery.next();
             assertTrue(watch.line().contains("?index=4&"), watch.line());
-            serve(bench, 7);
+            assertServedBy(bench, 7);
 
             Bench.Client client = bench.client().look("in flight");
-            Peer.Message sent = bench.backends.get(7).next();
+            Peer.Message backendRequest = bench.backends.get(7).next();
             CompletableFuture<Void> ended = bench.end();
-            sent.reply(200, "finished");
+            backendRequest.reply(200, "finished");
             assertEquals("finished", client.answer().text());
             ended.get(Peer.LIMIT_S, TimeUnit.SECONDS);
         }
     }
 
-    private static int members(int admin) throws Exception {
-        try (var in = URI.create("http://" + Bench.HOST + ":" + admin + "/ops/members").toURL()
+    private static int memberCount(int adminPort) throws Exception {
+        try (var in = URI.create("http://" + Bench.HOST + ":" + adminPort + "/ops/members").toURL()
                 .openStream()) {
             return ((List<?>) Json.object(in.readAllBytes()).get("members")).size();
         }
--- a/src/test/java/larkworks/proxy/MemoryExperiment.java
+++ b/src/test/java/larkworks/proxy/MemoryExperiment.java
@@ -54,7 +54,7 @@
             bench.more = members ? LargeFleet.membership(size, 0, Bench.HOST + ":" + Bench.freePort()) : "";
             Path config = Files.writeString(folder.resolve("config.json"), bench.config(port,
                     LargeFleet.list(1, true, size, i -> address, i -> "in_service")));
-            try (RunCommand run = new RunCommand("", config, folder, Map.of())) {
+            try (ProxyProcess run = new ProxyProcess("", config, folder, Map.of())) {
                 bench.at(port);
                 Peer.Message asked = bench.discovery.next();
                 asked.reply(200, LargeFleet.list(2, true, size, i -> address, i -> "in_service"));
@@ -102,7 +102,7 @@
         }
     }
 
-    private static void tell(int size, boolean members, String after, RunCommand run) throws Exception {
+    private static void tell(int size, boolean members, String after, ProxyProcess run) throws Exception {
         System.out.printf("servers=%d members=%d after %s: resident=%d kB most=%d kB, heap after a "
                 + "collection: %s%n", size, members ? size : 0, after, run.memoryKb("VmRSS"),
                 run.memoryKb("VmHWM"), heap(run.process.pid()));
--- a/src/test/java/larkworks/proxy/MetricsTest.java
+++ b/src/test/java/larkworks/proxy/MetricsTest.java
@@ -26,16 +26,16 @@
     @TempDir
     Path folder;
 
-    private Map<String, String> environment(int admin) {
-        return Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR", folder.toString());
+    private Map<String, String> environment(int adminPort) {
+        return Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR", folder.toString());
     }
 
     @Test
-    void tellsRequestsAttemptsAndListsInPrometheusText() throws Exception {
-        int admin = Bench.freePort();
+    void reportsRequestsAttemptsAndListsInPrometheusText() throws Exception {
+        int adminPort = Bench.freePort();
         try (Bench bench = new Bench(1)) {
             bench.more = "\"metrics\":{\"enabled\":true},";
-            bench.environment = environment(admin);
+            bench.environment = environment(adminPort);
             bench.list(bench.all(7));
             bench.start(folder, bench.all(7));
             for (int i = 0; i < 3; i++) {
@@ -44,8 +44,8 @@
                 client.status();
             }
             String text;
-            URI metrics = URI.create("http://" + Bench.HOST + ":" + admin + "/metrics");
-            try (var in = metrics.toURL().openStream()) {
+            URI metricsUri = URI.create("http://" + Bench.HOST + ":" + adminPort + "/metrics");
+            try (var in = metricsUri.toURL().openStream()) {
                 text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
             }
             for (String line : new String[] {
@@ -60,12 +60,12 @@
     }
 
     @Test
-    void aScrapeThatTakesLongHoldsUpNoRecording() throws Exception {
+    void aSlowScrapeDoesNotBlockRecording() throws Exception {
         CountDownLatch rendering = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch allowRendering = new CountDownLatch(1);
         try (Meters meters = new Meters(List.of(new RequestClass("look", 1, 1, 1, 0, Effect.SAFE,
                 DedupGroup.ALL, 0)))) {
-            meters.gauge("slow", goOn, latch -> {
+            meters.gauge("slow", allowRendering, latch -> {
                 rendering.countDown();
                 try {
                     latch.await();
@@ -79,19 +79,19 @@
             rendering.await();
             meters.answered(0, Meters.Result.SERVED, 1_000);
             assertFalse(text.isDone(), "a value must be recorded while the scrape is still rendered");
-            goOn.countDown();
+            allowRendering.countDown();
             assertTrue(text.get(30, TimeUnit.SECONDS).contains("slow 7.0"));
         }
     }
 
     @Test
-    void isAbsentUnlessAskedFor() throws Exception {
-        int admin = Bench.freePort();
+    void isAbsentUnlessEnabled() throws Exception {
+        int adminPort = Bench.freePort();
         try (Bench bench = new Bench(1)) {
-            bench.environment = environment(admin);
+            bench.environment = environment(adminPort);
             bench.list(bench.all(7));
             bench.start(folder, bench.all(7));
-            assertEquals(404, Bench.call(admin, "GET", "/metrics", ""));
+            assertEquals(404, Bench.call(adminPort, "GET", "/metrics", ""));
         }
     }
 }
--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -25,26 +25,26 @@
     Path folder;
 
     private Bench bench;
-    private Program service;
+    private Program registry;
     private Program proxy;
     private TcpRelay relay;
-    private Caller caller;
+    private Caller registryClient;
 
     @BeforeEach
-    void prepare() throws Exception {
+    void setUp() throws Exception {
         bench = new Bench(2);
-        service("data");
-        relay = new TcpRelay(address());
+        startRegistry("data");
+        relay = new TcpRelay(registryAddress());
         register(0);
     }
 
     /** Starts the proxy while the registry is unreachable; it serves by the known list, then the new one. */
-    private void start(String discovery) throws Exception {
+    private void startProxy(String discoveryJson) throws Exception {
         // The list in the configuration contains the second backend only.
-        String known = Bench.list(9, true, bench.entry(1, "in_service"));
+        String knownList = Bench.list(9, true, bench.entry(1, "in_service"));
         bench.at(Bench.freePort());
-        Path config = Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), known)
-                .replace('"' + bench.discovery.address() + '"', discovery));
+        Path config = Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), knownList)
+                .replace('"' + bench.discovery.address() + '"', discoveryJson));
         relay.refuse(true);
         proxy = new Program("", Map.of("GW_CONFIG", config.toString()), "proxy");
         Program.await(20, proxy.lines::toString, () -> relay.refused.get() > 2);
@@ -54,33 +54,34 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         proxy.close();
-        service.close();
+        registry.close();
         relay.close();
         bench.close();
     }
 
-    private void service(String data) throws Exception {
-        service = new Program("", Map.of(), "registry", "--listen", "127.0.0.1:0", "--data",
-                folder.resolve(data).toString());
-        caller = new Caller((String) service.logged("serving").get("address"));
+    private void startRegistry(String folderName) throws Exception {
+        registry = new Program("", Map.of(), "registry", "--listen", "127.0.0.1:0", "--data",
+                folder.resolve(folderName).toString());
+        registryClient = new Caller((String) registry.logged("serving").get("address"));
     }
 
-    private InetSocketAddress address() throws Exception {
-        return Addresses.parse(service.logged("serving").get("address"));
+    private InetSocketAddress registryAddress() throws Exception {
+        return Addresses.parse(registry.logged("serving").get("address"));
     }
 
     private void register(int backend) throws Exception {
-        assertEquals(200, caller.register("b" + backend, bench.backends.get(backend).address(), "").status());
+        assertEquals(200,
+                registryClient.register("b" + backend, bench.backends.get(backend).address(), "").status());
     }
 
     private void awaitServedBy(int backend) throws Exception {
-        int[] row = {0};
+        int[] servedInARow = {0};
         Program.await(15, proxy.lines::toString, () -> {
             try {
-                row[0] = bench.served() == backend ? row[0] + 1 : 0;
-                return row[0] == 5;
+                servedInARow[0] = bench.served() == backend ? servedInARow[0] + 1 : 0;
+                return servedInARow[0] == 5;
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
@@ -89,16 +90,16 @@
 
     @Test
     void servesFromTheLastListThroughAnOutageAndConvergesAfterIt() throws Exception {
-        start("[\"127.0.0.1:1\",\"" + relay.address() + "\"]");  // nothing listens at the first address
+        startProxy("[\"127.0.0.1:1\",\"" + relay.address() + "\"]");  // nothing listens at the first address
         relay.refuse(true);
-        service.kill();
-        int before = relay.refused.get();
+        registry.kill();
+        int refusedBefore = relay.refused.get();
         // The outage lasts for several attempts, until well after the pause between them is at its maximum.
-        Program.await(30, proxy.lines::toString, () -> relay.refused.get() >= before + 7);
+        Program.await(30, proxy.lines::toString, () -> relay.refused.get() >= refusedBefore + 7);
         assertEquals(0, bench.served());
-        service("data");
-        relay.target(address());
-        caller.status("b0", "terminating");
+        startRegistry("data");
+        relay.target(registryAddress());
+        registryClient.status("b0", "terminating");
         register(1);
         assertEquals(0, bench.served(), "the proxy has not received the new list yet");
         relay.refuse(false);
@@ -106,24 +107,24 @@
     }
 
     @Test
-    void noticesAConnectionGoneSilent() throws Exception {
-        start('"' + relay.address() + '"');
+    void appliesChangesThoughAConnectionStopsDelivering() throws Exception {
+        startProxy('"' + relay.address() + '"');
         relay.silence();
         register(1);
-        caller.status("b0", "terminating");
+        registryClient.status("b0", "terminating");
         awaitServedBy(1);
     }
 
     @Test
-    void takesNoChangesOfAnotherList() throws Exception {
-        start('"' + relay.address() + '"');
+    void ignoresChangesToAnotherList() throws Exception {
+        startProxy('"' + relay.address() + '"');
         relay.refuse(true);
-        service.kill();
-        service("other");  // the data is lost: its index exceeds the old one, b0 was never in it
-        caller.register("x", "127.0.0.1:2", "");
-        caller.status("x", "terminated");
+        registry.kill();
+        startRegistry("other");  // the data is lost: its index exceeds the old one, b0 was never in it
+        registryClient.register("x", "127.0.0.1:2", "");
+        registryClient.status("x", "terminated");
         register(1);
-        relay.target(address());
+        relay.target(registryAddress());
         relay.refuse(false);
         awaitServedBy(1);
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/larkworks/proxy/ProcessTest.java
+++ b/src/test/java/larkworks/proxy/ProcessTest.java
@@ -36,28 +36,28 @@
     }
 
     @Test
-    void finishesWhatItHasTakenAfterSigterm() throws Exception {
+    void finishesItsRequestsAfterSigterm() throws Exception {
         int port = Bench.freePort();
         try (Bench bench = new Bench(1)) {
             bench.at(port);
             Process process = start(bench.config(port, bench.all(1)));
             try {
-                Bench.Client probe = connect(bench);
+                Bench.Client probe = connectWhenReady(bench);
                 Bench.Client client = bench.client().look("in flight");
-                Peer.Message sent = bench.backends.get(0).next();
+                Peer.Message backendRequest = bench.backends.get(0).next();
 
                 process.destroy();
-                while (ready(probe) == 200) {
+                while (readinessStatus(probe) == 200) {
                     // Wait for the signal to arrive; the first answer after it closes the connection.
                     Thread.onSpinWait();
                 }
-                Bench.Client late = bench.client().look("late");
-                Peer.Message lateSent = bench.backends.get(0).next();
-                lateSent.reply(200, "late too");
-                Peer.Message lateAnswer = late.answer();
+                Bench.Client lateClient = bench.client().look("late");
+                Peer.Message lateBackendRequest = bench.backends.get(0).next();
+                lateBackendRequest.reply(200, "late too");
+                Peer.Message lateAnswer = lateClient.answer();
                 assertEquals("late too", lateAnswer.text());
                 assertEquals("close", lateAnswer.header("Connection"));
-                sent.reply(200, "finished");
+                backendRequest.reply(200, "finished");
                 assertEquals("finished", client.answer().text());
                 assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
             } finally {
@@ -67,22 +67,22 @@
     }
 
     /** Starts a process with this deadline for all classes; it sets how soon SIGKILL may follow SIGTERM. */
-    private Process startWithDeadline(Bench bench, int port, long ms) throws IOException {
+    private Process startWithDeadline(Bench bench, int port, long deadlineMs) throws IOException {
         bench.at(port);
         return start(bench.config(port, bench.all(1)).replace("2000000,", "500000,")
-                .replace("30000000,\"worth", ms + "000,\"worth"));
+                .replace("30000000,\"worth", deadlineMs + "000,\"worth"));
     }
 
     @Test
-    void endsNotBeforeTheLastRequestIsDueThoughItsBackendHangs() throws Exception {
+    void waitsForTheLastRequestsDeadlineThoughItsBackendHangs() throws Exception {
         int port = Bench.freePort();
         try (Bench bench = new Bench(1)) {
             Process process = startWithDeadline(bench, port, 1_000);
             try {
-                Bench.Client probe = connect(bench);
+                Bench.Client probe = connectWhenReady(bench);
                 Bench.Client client = bench.client();
                 process.destroy();
-                while (ready(probe) == 200) {
+                while (readinessStatus(probe) == 200) {
                     Thread.onSpinWait();
                 }
                 // Its budget ends 1.5 s after the longest deadline. A request that arrives within 0.7 s of
@@ -100,19 +100,19 @@
     }
 
     @Test
-    void answersBeforeTheEarliestSigkillWhatCameWholeOnlyAfterTheListenerClosed() throws Exception {
+    void answersBeforeTheEarliestSigkillARequestCompletedAfterTheListenerClosed() throws Exception {
         int port = Bench.freePort();
         try (Bench bench = new Bench(1)) {
             Process process = startWithDeadline(bench, port, 1_000);
             try {
-                connect(bench).socket().close();
-                Bench.Client half = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
-                Bench.Client silent = bench.client();
+                connectWhenReady(bench).socket().close();
+                Bench.Client slowClient = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
+                Bench.Client idleClient = bench.client();
                 process.destroy();
                 // A client would send requests on an idle connection left open, until SIGKILL.
-                assertNull(silent.answer());
-                half.send("X-Call-Id: late\r\nX-Call-Class: look\r\nX-Budget-Ms: 20000\r\n\r\n");
-                Peer.Message answer = half.answer();
+                assertNull(idleClient.answer());
+                slowClient.send("X-Call-Id: late\r\nX-Call-Class: look\r\nX-Budget-Ms: 20000\r\n\r\n");
+                Peer.Message answer = slowClient.answer();
                 assertNotNull(answer, "the process ended first");
                 assertTrue(answer.line().startsWith("HTTP/1.1 50"), answer.line());
                 assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
@@ -123,25 +123,25 @@
     }
 
     @Test
-    void finishesWhatItHasTakenWhateverSignalsComeTogether() throws Exception {
+    void finishesItsRequestsWhateverSignalsArriveTogether() throws Exception {
         int port = Bench.freePort();
         try (Bench bench = new Bench(1)) {
             bench.at(port);
             Process process = start(bench.config(port, bench.all(1)));
             try {
-                connect(bench).socket().close();
+                connectWhenReady(bench).socket().close();
                 Bench.Client client = bench.client().look("in flight");
-                Peer.Message sent = bench.backends.get(0).next();
-                Bench.Client half = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
-                hangUp(process);
+                Peer.Message backendRequest = bench.backends.get(0).next();
+                Bench.Client slowClient = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
+                sendSighup(process);
                 process.destroy();
                 process.destroy();
-                hangUp(process);
-                sent.reply(200, "finished");
+                sendSighup(process);
+                backendRequest.reply(200, "finished");
                 assertEquals("finished", client.answer().text());
-                half.send("X-Call-Id: half\r\nX-Call-Class: look\r\n\r\n");
+                slowClient.send("X-Call-Id: half\r\nX-Call-Class: look\r\n\r\n");
                 bench.backends.get(0).next().reply(200, "whole");
-                assertEquals("whole", half.answer().text());
+                assertEquals("whole", slowClient.answer().text());
                 assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
@@ -150,28 +150,28 @@
     }
 
     @Test
-    void turnsToAnotherDiscoveryAtSighupAndOutlivesABadConfiguration() throws Exception {
+    void switchesDiscoveryAtSighupAndSurvivesABadConfiguration() throws Exception {
         int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer other = new Peer()) {
+        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
             bench.at(port);
             String config = bench.config(port, "null");
             Process process = start(config);
             try {
                 bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
                 Peer.Message watch = bench.discovery.next();
-                connect(bench);
+                connectWhenReady(bench);
 
                 Files.writeString(folder.resolve("config.json"), "{\"discovery\":\"nowhere\"}");
-                hangUp(process);
+                sendSighup(process);
                 assertTrue(process.errorReader().readLine().contains("the old configuration is kept"));
                 Files.writeString(folder.resolve("config.json"),
-                        config.replace(bench.discovery.address(), other.address()));
-                hangUp(process);
-                Peer.Message asked = other.next();
-                assertTrue(asked.line().startsWith("GET /registry/instances?index=7&"), asked.line());
+                        config.replace(bench.discovery.address(), otherDiscovery.address()));
+                sendSighup(process);
+                Peer.Message call = otherDiscovery.next();
+                assertTrue(call.line().startsWith("GET /registry/instances?index=7&"), call.line());
                 watch.awaitEnd();
-                asked.reply(200, Bench.list(3, true, bench.entry(1, "in_service")));
-                assertTrue(other.next().line().contains("?index=3&"));
+                call.reply(200, Bench.list(3, true, bench.entry(1, "in_service")));
+                assertTrue(otherDiscovery.next().line().contains("?index=3&"));
 
                 Bench.Client client = bench.client().look("r");
                 bench.backends.get(1).next().reply(200, "moved");
@@ -188,74 +188,75 @@
      * answer must be ignored.
      */
     @Test
-    void turnsBackToTheOldDiscoveryWhileTheOtherHasNotAnswered() throws Exception {
+    void switchesBackToTheOldDiscoveryBeforeTheNewOneAnswers() throws Exception {
         int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer other = new Peer()) {
+        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
             bench.at(port);
             String config = bench.config(port, "null");
             Process process = start(config);
             try {
                 bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
                 Peer.Message watch = bench.discovery.next();
-                connect(bench);
+                connectWhenReady(bench);
 
                 Files.writeString(folder.resolve("config.json"),
-                        config.replace(bench.discovery.address(), other.address()));
-                hangUp(process);
-                Peer.Message asked = other.next();
+                        config.replace(bench.discovery.address(), otherDiscovery.address()));
+                sendSighup(process);
+                Peer.Message call = otherDiscovery.next();
                 watch.awaitEnd();
                 Files.writeString(folder.resolve("config.json"), config);
-                hangUp(process);
-                Peer.Message again = bench.discovery.next();
-                assertTrue(again.line().startsWith("GET /registry/instances?index=7&"), again.line());
+                sendSighup(process);
+                Peer.Message repeatedCall = bench.discovery.next();
+                assertTrue(repeatedCall.line().startsWith("GET /registry/instances?index=7&"),
+                        repeatedCall.line());
                 // Once this call has ended, the proxy has moved back; an earlier answer would be applied.
-                asked.awaitEnd();
+                call.awaitEnd();
                 try {
-                    asked.reply(200, Bench.list(8, true, bench.entry(1, "in_service")));
+                    call.reply(200, Bench.list(8, true, bench.entry(1, "in_service")));
                 } catch (UncheckedIOException e) {
                     // The proxy has closed the connection already.
                 }
                 assertEquals(0, bench.served(), "the current list must stay in force");
-                again.reply(200, Bench.list(9, true, bench.entry(0, "in_service")));
+                repeatedCall.reply(200, Bench.list(9, true, bench.entry(0, "in_service")));
                 assertTrue(bench.discovery.next().line().contains("?index=9&"));
                 assertEquals(0, bench.served());
-                assertEquals(0, other.waiting());
+                assertEquals(0, otherDiscovery.waiting());
             } finally {
                 process.destroyForcibly();
             }
         }
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "{\"listen\":\"127.0.0.1:0\"}", "{\"settings\":{\"limits\":7}}"})
-    void saysInOneLineWhatIsWrongWithTheConfiguration(String config) throws Exception {
+    void reportsAConfigurationErrorInOneLine(String config) throws Exception {
         Process process = start(config);
-        String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
+        String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertNotEquals(0, process.waitFor());
-        assertTrue(said.startsWith("larkworks: "), said);
-        assertEquals(1, said.lines().count(), said);
+        assertTrue(errorOutput.startsWith("larkworks: "), errorOutput);
+        assertEquals(1, errorOutput.lines().count(), errorOutput);
     }
 
-    private static int ready(Bench.Client client) throws IOException {
+    private static int readinessStatus(Bench.Client client) throws IOException {
         return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
 
     /** Returns a connection to the process as soon as it listens and is ready. */
-    private static Bench.Client connect(Bench bench) throws Exception {
-        long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
+    private static Bench.Client connectWhenReady(Bench bench) throws Exception {
+        long deadlineNs = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
         while (true) {
             try {
                 Bench.Client client = bench.client();
-                while (ready(client) != 200) {
+                while (readinessStatus(client) != 200) {
                     Thread.onSpinWait();
                 }
                 return client;
             } catch (ConnectException e) {
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > deadlineNs) {
                     throw e;
                 }
                 Thread.sleep(20);
--- a/src/test/java/larkworks/proxy/ReadinessTest.java
+++ b/src/test/java/larkworks/proxy/ReadinessTest.java
@@ -15,7 +15,7 @@
 class ReadinessTest {
 
     /** Pause after each byte of an answer, well below the 1 s after which a stalled answer times out. */
-    private static final long DRIP_MS = 100;
+    private static final long BYTE_INTERVAL_MS = 100;
 
     @TempDir
     Path folder;
@@ -33,7 +33,7 @@
 
     /** The proxy serves by the list in its configuration; a call that hangs times out and is repeated. */
     @Test
-    void isReadyWhereDiscoveryHangsForEverAndKeepsAskingIt() throws Exception {
+    void isReadyThoughDiscoveryHangsAndKeepsCallingIt() throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
             awaitReady(bench);
             assertEquals(0, bench.served());
@@ -46,32 +46,32 @@
 
     /** An answer may take 4 s from its first byte; a list completed after readiness is still applied. */
     @Test
-    void isReadyWhileTheFirstListStillComesAndTakesItThen() throws Exception {
+    void isReadyWhileTheFirstListIsIncompleteAndAppliesItLater() throws Exception {
         try (Bench bench = new Bench(2)) {
             String list = Bench.list(7, true, bench.entry(1, "in_service"));
-            String known = Bench.list(1, true, bench.entry(0, "in_service"));
-            bench.start(folder, known);
-            Peer.Message asked = bench.discovery.next();
-            asked.raw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
-            int[] sent = {0};
-            Thread drip = new Thread(() -> {
+            String knownList = Bench.list(1, true, bench.entry(0, "in_service"));
+            bench.start(folder, knownList);
+            Peer.Message listCall = bench.discovery.next();
+            listCall.raw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
+            int[] sentBytes = {0};
+            Thread byteSender = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
-                    asked.raw(list.substring(sent[0], ++sent[0]));
+                    listCall.raw(list.substring(sentBytes[0], ++sentBytes[0]));
                     try {
-                        Thread.sleep(DRIP_MS);
+                        Thread.sleep(BYTE_INTERVAL_MS);
                     } catch (InterruptedException e) {
                         return;
                     }
                 }
             });
-            drip.setDaemon(true);
-            drip.start();
+            byteSender.setDaemon(true);
+            byteSender.start();
             awaitReady(bench);
-            drip.interrupt();
-            drip.join(TimeUnit.SECONDS.toMillis(Peer.LIMIT_S));
-            assertTrue(asked.ended().getCount() > 0,
+            byteSender.interrupt();
+            byteSender.join(TimeUnit.SECONDS.toMillis(Peer.LIMIT_S));
+            assertTrue(listCall.ended().getCount() > 0,
                     "the proxy must be ready while it still reads the answer");
-            asked.raw(list.substring(sent[0]));
+            listCall.raw(list.substring(sentBytes[0]));
             // If the answer had timed out, the proxy would not ask from index 7 on.
             assertTrue(bench.discovery.next().line().contains("?index=7&"),
                     "the received list was not applied");
--- a/src/test/java/larkworks/proxy/ReplacementTest.java
+++ b/src/test/java/larkworks/proxy/ReplacementTest.java
@@ -29,13 +29,13 @@
 
     private Bench bench;
     private final List<Process> processes = new ArrayList<>();
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean isOver = new AtomicBoolean();
     /** Ids of the requests that backends received. */
-    private final List<String> ids = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> receivedIds = Collections.synchronizedList(new ArrayList<>());
     private final List<Thread> threads = new ArrayList<>();
 
     @BeforeEach
-    void prepare() throws Exception {
+    void setUp() throws Exception {
         bench = new Bench(2);
         bench.at(Bench.freePort());
         bench.list(bench.all(7));
@@ -47,8 +47,8 @@
     }
 
     @AfterEach
-    void end() throws Exception {
-        over.set(true);
+    void tearDown() throws Exception {
+        isOver.set(true);
         processes.forEach(Process::destroyForcibly);
         for (Thread thread : threads) {
             thread.interrupt();
@@ -57,14 +57,14 @@
         bench.close();
     }
 
-    private interface Job {
+    private interface ThrowingTask {
         void run() throws Exception;
     }
 
-    private void spawn(Job job) {
+    private void spawn(ThrowingTask task) {
         Thread thread = new Thread(() -> {
             try {
-                job.run();
+                task.run();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (Exception e) {
@@ -76,20 +76,20 @@
     }
 
     private void serve(Peer backend) throws InterruptedException {
-        while (!over.get()) {
+        while (!isOver.get()) {
             Peer.Message message = backend.next();
             String id = message.header("X-Call-Id");
-            ids.add(id);
+            receivedIds.add(id);
             message.reply(200, id);
         }
     }
 
-    private Process start(int admin) throws IOException {
+    private Process startProxy(int adminPort) throws IOException {
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "larkworks.cli.Larkworks", "proxy");
         builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
-        builder.environment().put("GW_ADMIN_ADDR", Bench.HOST + ":" + admin);
+        builder.environment().put("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort);
         builder.environment().put("TMPDIR", folder.resolve("tmp").toString());
         builder.redirectError(ProcessBuilder.Redirect.INHERIT);
         Process process = builder.start();
@@ -97,112 +97,113 @@
         return process;
     }
 
-    private static void awaitReady(int admin) throws Exception {
-        while (Bench.awaitCall(admin, "GET", "/ops/readiness") != 200) {
+    private static void awaitReady(int adminPort) throws Exception {
+        while (Bench.awaitCall(adminPort, "GET", "/ops/readiness") != 200) {
             Thread.sleep(10);
         }
     }
 
     /** Sends requests until stopped, on new and on kept-alive connections; asserts that each is served. */
-    private void ask(String name, List<String> served, AtomicBoolean stop) throws Exception {
-        Bench.Client kept = bench.client();
-        for (int i = 0; !stop.get(); i++) {
+    private void sendRequests(String name, List<String> served, AtomicBoolean isStopped) throws Exception {
+        Bench.Client keptAlive = bench.client();
+        for (int i = 0; !isStopped.get(); i++) {
             String id = name + "-" + i;
             if (i % 3 == 0) {
-                kept.socket().close();
-                kept = bench.client();
+                keptAlive.socket().close();
+                keptAlive = bench.client();
             }
-            Peer.Message answer = kept.look(id).answer();
+            Peer.Message answer = keptAlive.look(id).answer();
             assertEquals(id, answer == null ? null : answer.text(), "the answer to " + id);
             served.add(id);
             if ("close".equals(answer.header("Connection"))) {
-                kept.socket().close();
-                kept = bench.client();
+                keptAlive.socket().close();
+                keptAlive = bench.client();
             }
         }
-        kept.socket().close();
+        keptAlive.socket().close();
     }
 
     @Test
-    void losesNothingAndDoublesNothingWhileOneProcessReplacesAnother() throws Exception {
-        int before = Bench.freePort();
-        Process old = start(before);
-        awaitReady(before);
-        Bench.Client idle = bench.client();
-        assertEquals(200, idle.look("first").status());
-        AtomicBoolean stop = new AtomicBoolean();
+    void losesAndRepeatsNoRequestWhileOneProcessReplacesAnother() throws Exception {
+        int oldAdminPort = Bench.freePort();
+        Process oldProcess = startProxy(oldAdminPort);
+        awaitReady(oldAdminPort);
+        Bench.Client idleClient = bench.client();
+        assertEquals(200, idleClient.look("first").status());
+        AtomicBoolean isStopped = new AtomicBoolean();
         List<String> served = Collections.synchronizedList(new ArrayList<>());
-        List<Throwable> failed = Collections.synchronizedList(new ArrayList<>());
+        List<Throwable> failures = Collections.synchronizedList(new ArrayList<>());
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             String name = "c" + i;
             Thread client = new Thread(() -> {
                 try {
-                    ask(name, served, stop);
+                    sendRequests(name, served, isStopped);
                 } catch (Throwable e) {
-                    failed.add(e);
+                    failures.add(e);
                 }
             });
             client.start();
             clients.add(client);
         }
 
-        int after = Bench.freePort();
-        long from = System.nanoTime();
-        Process young = start(after);
-        awaitReady(after);
-        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
-        old.destroy();
-        assertTrue(old.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
-        int until = served.size();
-        while (served.size() < until + 100 && failed.isEmpty()) {
+        int newAdminPort = Bench.freePort();
+        long startNs = System.nanoTime();
+        Process newProcess = startProxy(newAdminPort);
+        awaitReady(newAdminPort);
+        long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
+        oldProcess.destroy();
+        assertTrue(oldProcess.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+        int servedBefore = served.size();
+        while (served.size() < servedBefore + 100 && failures.isEmpty()) {
             Thread.sleep(10);
         }
-        stop.set(true);
+        isStopped.set(true);
         for (Thread client : clients) {
             client.join();
         }
-        assertEquals(List.of(), failed);
-        assertTrue(young.isAlive());
+        assertEquals(List.of(), failures);
+        assertTrue(newProcess.isAlive());
         assertTrue(tookMs < 6_000, "took too long to be ready, in ms: " + tookMs);
-        assertEquals(ids.size(), new HashSet<>(ids).size(), "no request may reach a backend twice");
-        assertTrue(new HashSet<>(ids).containsAll(served));
-        assertFalse(ids.contains("warm-up"), "requests of the warm-up must not reach a backend");
+        assertEquals(receivedIds.size(), new HashSet<>(receivedIds).size(),
+                "no request may reach a backend twice");
+        assertTrue(new HashSet<>(receivedIds).containsAll(served));
+        assertFalse(receivedIds.contains("warm-up"), "requests of the warm-up must not reach a backend");
     }
 
     @Test
-    void theOldProcessServesOnWhereTheNewOneFailsAtItsStart() throws Exception {
-        int admin = Bench.freePort();
-        Process old = start(admin);
-        awaitReady(admin);
-        Process young = start(admin);  // its admin address is in use
-        assertTrue(young.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
-        assertNotEquals(0, young.exitValue());
+    void theOldProcessKeepsServingIfTheNewOneFailsToStart() throws Exception {
+        int adminPort = Bench.freePort();
+        Process oldProcess = startProxy(adminPort);
+        awaitReady(adminPort);
+        Process newProcess = startProxy(adminPort);  // its admin address is in use
+        assertTrue(newProcess.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertNotEquals(0, newProcess.exitValue());
         assertEquals(200, bench.client().look("on").status());
-        assertEquals(200, Bench.call(admin, "GET", "/ops/readiness", ""));
-        assertTrue(old.isAlive());
+        assertEquals(200, Bench.call(adminPort, "GET", "/ops/readiness", ""));
+        assertTrue(oldProcess.isAlive());
     }
 
     @Test
-    void eachOfTwoLiveProcessesSeesTheCallsThatCameToTheOther() throws Exception {
-        int one = Bench.freePort();
-        int two = Bench.freePort();
-        start(one);
-        awaitReady(one);
-        assertEquals(200, Bench.call(one, "PUT", "/ops/backends/down", "{\"who\":\"b0\"}"));
-        Process young = start(two);
-        awaitReady(two);
-        assertEquals(200, Bench.call(two, "PUT", "/ops/backends/down", "{\"who\":\"b1\"}"));
-        awaitReadiness(one, 503);
-        assertEquals(503, Bench.call(two, "GET", "/ops/readiness", ""),
+    void twoProcessesShareTheOperatorsCommands() throws Exception {
+        int firstAdminPort = Bench.freePort();
+        int secondAdminPort = Bench.freePort();
+        startProxy(firstAdminPort);
+        awaitReady(firstAdminPort);
+        assertEquals(200, Bench.call(firstAdminPort, "PUT", "/ops/backends/down", "{\"who\":\"b0\"}"));
+        Process newProcess = startProxy(secondAdminPort);
+        awaitReady(secondAdminPort);
+        assertEquals(200, Bench.call(secondAdminPort, "PUT", "/ops/backends/down", "{\"who\":\"b1\"}"));
+        awaitReadiness(firstAdminPort, 503);
+        assertEquals(503, Bench.call(secondAdminPort, "GET", "/ops/readiness", ""),
                 "both backends are in maintenance, b0 by a command to the other process");
-        assertEquals(200, Bench.call(one, "PUT", "/ops/backends/up", "{\"who\":\"b1\"}"));
-        awaitReadiness(two, 200);
-        assertTrue(young.isAlive());
+        assertEquals(200, Bench.call(firstAdminPort, "PUT", "/ops/backends/up", "{\"who\":\"b1\"}"));
+        awaitReadiness(secondAdminPort, 200);
+        assertTrue(newProcess.isAlive());
     }
 
-    private static void awaitReadiness(int admin, int status) throws Exception {
-        while (Bench.call(admin, "GET", "/ops/readiness", "") != status) {
+    private static void awaitReadiness(int adminPort, int status) throws Exception {
+        while (Bench.call(adminPort, "GET", "/ops/readiness", "") != status) {
             Thread.sleep(10);
         }
     }
--- a/src/test/java/larkworks/proxy/StartTimesTest.java
+++ b/src/test/java/larkworks/proxy/StartTimesTest.java
@@ -12,56 +12,68 @@
 /** Tests the start times of servers where the list's clock and this process's differ by an hour. */
 class StartTimesTest {
 
-    private static final long S = 1_000_000;
-    private static final long HOUR = 3_600 * S;
-    private static final long NOW = 1_000_000 * S;
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long SECOND_US = 1_000_000;
+    private static final long HOUR_US = 3_600 * SECOND_US;
+    private static final long NOW_US = 1_000_000 * SECOND_US;
+    private static final long NO_PREVIOUS_LIST = Long.MIN_VALUE;
 
-    private final StartTimes starts = new StartTimes(20 * S);
-    private final List<Server> moved = new ArrayList<>();
+    private final StartTimes starts = new StartTimes(20 * SECOND_US);
+    private final List<Server> corrected = new ArrayList<>();
 
     private static Server server(String id, long startedAtUs) {
         return new Server(id, startedAtUs, 0, 0, 1, ServerStatus.UP);
     }
 
-    private long placed(long nowUs, ListKind kind, long currentUs, Server line) {
-        return starts.toLocalClock(nowUs, kind, List.of(line), currentUs, moved).get(0).startedAtUs();
+    private long localStartUs(long nowUs, ListKind kind, long previousListUs, Server server) {
+        return starts.toLocalClock(nowUs, kind, List.of(server), previousListUs, corrected).get(0)
+                .startedAtUs();
     }
 
     @Test
-    void aStartInTheFutureIsNowAndStaysWhereItWas() {
-        assertEquals(NOW, placed(NOW, ListKind.WHOLE, NEVER, server("a", NOW + HOUR)));
-        assertEquals(NOW, placed(NOW + 5 * S, ListKind.CHANGES, NOW, server("a", NOW + HOUR)));
-        assertEquals(NOW + 5 * S, placed(NOW + 6 * S, ListKind.CHANGES, NOW, server("b", NOW + HOUR + 5 * S)),
+    void aStartInTheFutureBecomesNowAndStaysThere() {
+        assertEquals(NOW_US,
+                localStartUs(NOW_US, ListKind.WHOLE, NO_PREVIOUS_LIST, server("a", NOW_US + HOUR_US)));
+        assertEquals(NOW_US, localStartUs(NOW_US + 5 * SECOND_US, ListKind.CHANGES, NOW_US,
+                server("a", NOW_US + HOUR_US)));
+        assertEquals(NOW_US + 5 * SECOND_US, localStartUs(NOW_US + 6 * SECOND_US, ListKind.CHANGES, NOW_US,
+                server("b", NOW_US + HOUR_US + 5 * SECOND_US)),
                 "corrected by the clock offset that the first start revealed");
     }
 
     @Test
-    void aStartToldWhileTheListWasWatchedIsNoOlderThanTheListHeldBefore() {
-        placed(NOW, ListKind.WHOLE, NEVER, server("a", 0));
-        assertEquals(NOW - S, placed(NOW + S, ListKind.CHANGES, NOW - S, server("b", NOW - HOUR)));
+    void aStartSeenWhileWatchingIsNoOlderThanThePreviousList() {
+        localStartUs(NOW_US, ListKind.WHOLE, NO_PREVIOUS_LIST, server("a", 0));
+        assertEquals(NOW_US - SECOND_US, localStartUs(NOW_US + SECOND_US, ListKind.CHANGES,
+                NOW_US - SECOND_US, server("b", NOW_US - HOUR_US)));
     }
 
     @Test
-    void oneSuchStartShowsTheDifferenceForAllOthersThatAreStillCold() {
-        assertEquals(NOW - HOUR, placed(NOW, ListKind.WHOLE, NEVER, server("a", NOW - HOUR)));
-        placed(NOW + 2 * S, ListKind.CHANGES, NOW, server("b", NOW + S - HOUR));
-        assertEquals(List.of(server("a", NOW - S)), moved);
+    void oneCorrectedStartRevealsTheClockOffsetForAllColdServers() {
+        assertEquals(NOW_US - HOUR_US,
+                localStartUs(NOW_US, ListKind.WHOLE, NO_PREVIOUS_LIST, server("a", NOW_US - HOUR_US)));
+        localStartUs(NOW_US + 2 * SECOND_US, ListKind.CHANGES, NOW_US,
+                server("b", NOW_US + SECOND_US - HOUR_US));
+        assertEquals(List.of(server("a", NOW_US - SECOND_US)), corrected);
     }
 
     @Test
-    void aLateListTellsNothingOfTheClocks() {
-        placed(NOW, ListKind.WHOLE, NEVER, server("a", NOW - 5 * S));
-        assertEquals(NOW, placed(NOW + 9 * S, ListKind.CHANGES, NOW, server("b", NOW - 4 * S)));
-        assertEquals(List.of(), moved);
-        assertEquals(NOW + 8 * S, placed(NOW + 9 * S, ListKind.CHANGES, NOW, server("c", NOW + 8 * S)));
+    void aLateListRevealsNoClockOffset() {
+        localStartUs(NOW_US, ListKind.WHOLE, NO_PREVIOUS_LIST, server("a", NOW_US - 5 * SECOND_US));
+        assertEquals(NOW_US, localStartUs(NOW_US + 9 * SECOND_US, ListKind.CHANGES, NOW_US,
+                server("b", NOW_US - 4 * SECOND_US)));
+        assertEquals(List.of(), corrected);
+        assertEquals(NOW_US + 8 * SECOND_US, localStartUs(NOW_US + 9 * SECOND_US, ListKind.CHANGES, NOW_US,
+                server("c", NOW_US + 8 * SECOND_US)));
     }
 
     @Test
-    void aServerThatTheRememberedListDoesNotHoldHasStartedSince() {
-        placed(NOW, ListKind.REMEMBERED, NEVER, server("a", NOW - HOUR));
-        assertEquals(NOW - HOUR, placed(NOW + S, ListKind.WHOLE, NEVER, server("a", NOW - HOUR)));
-        assertEquals(NOW + S, placed(NOW + S, ListKind.WHOLE, NEVER, server("b", NOW - HOUR)));
-        assertEquals(NOW - 3 * S, placed(NOW + S, ListKind.WHOLE, NEVER, server("c", NOW - 3 * S)));
+    void aServerMissingFromTheRememberedListHasStartedSince() {
+        localStartUs(NOW_US, ListKind.REMEMBERED, NO_PREVIOUS_LIST, server("a", NOW_US - HOUR_US));
+        assertEquals(NOW_US - HOUR_US, localStartUs(NOW_US + SECOND_US, ListKind.WHOLE, NO_PREVIOUS_LIST,
+                server("a", NOW_US - HOUR_US)));
+        assertEquals(NOW_US + SECOND_US, localStartUs(NOW_US + SECOND_US, ListKind.WHOLE, NO_PREVIOUS_LIST,
+                server("b", NOW_US - HOUR_US)));
+        assertEquals(NOW_US - 3 * SECOND_US, localStartUs(NOW_US + SECOND_US, ListKind.WHOLE,
+                NO_PREVIOUS_LIST, server("c", NOW_US - 3 * SECOND_US)));
     }
 }
--- a/src/test/java/larkworks/proxy/StartupExperiment.java
+++ b/src/test/java/larkworks/proxy/StartupExperiment.java
@@ -32,18 +32,18 @@
 
     /** Runs the experiment; arguments as above. */
     public static void main(String[] args) throws Exception {
-        List<DiscoveryStandIn.Way> ways = args.length > 3
-                ? Arrays.stream(args).skip(3).map(DiscoveryStandIn.Way::valueOf).toList()
-                : List.of(DiscoveryStandIn.Way.values());
+        List<DiscoveryStub.ResponseMode> ways = args.length > 3
+                ? Arrays.stream(args).skip(3).map(DiscoveryStub.ResponseMode::valueOf).toList()
+                : List.of(DiscoveryStub.ResponseMode.values());
         for (String n : args[2].split(",")) {
-            for (DiscoveryStandIn.Way way : ways) {
+            for (DiscoveryStub.ResponseMode way : ways) {
                 measure(args[0], args[1].equals("admin"), Integer.parseInt(n), way);
             }
         }
         System.exit(0);  // the stand-in's server leaves threads that hold the process
     }
 
-    private static void measure(String cores, boolean admin, int size, DiscoveryStandIn.Way way)
+    private static void measure(String cores, boolean admin, int size, DiscoveryStub.ResponseMode way)
             throws Exception {
         String[] entries = new String[BACKENDS];
         for (int i = 0; i < BACKENDS; i++) {
@@ -51,10 +51,10 @@
         }
         String list = Bench.list(1, true, entries);
         Path folder = Files.createTempDirectory("startup");
-        List<RunCommand> processes = new ArrayList<>();
+        List<ProxyProcess> processes = new ArrayList<>();
         long[] ms = new long[size];
         long[] ticks = new long[size];
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(way, list); Bench bench = new Bench(0)) {
+        try (DiscoveryStub discovery = new DiscoveryStub(way, list); Bench bench = new Bench(0)) {
             Set<Integer> ports = new HashSet<>();
             while (ports.size() < 2 * size) {
                 ports.add(Bench.freePort());  // the system may give one twice, once it is closed again
@@ -66,7 +66,7 @@
                 Path config = Files.writeString(folder.resolve("config" + i + ".json"),
                         bench.config(free.get(i), list).replace(Bench.HOST, HOST)
                                 .replace(bench.discovery.address(), discovery.address()));
-                RunCommand run = new RunCommand(cores, config, own, admin
+                ProxyProcess run = new ProxyProcess(cores, config, own, admin
                         ? Map.of("GW_ADMIN_ADDR", HOST + ":" + free.get(size + i)) : Map.of());
                 processes.add(run);
                 int at = i;
@@ -84,24 +84,24 @@
                     + "time median=%.2f s max=%.2f s, list asked for %d times%n", way, size,
                     admin ? "second address" : "one address", ms[size / 2] / 1e3,
                     ms[(int) Math.ceil(0.9 * size) - 1] / 1e3, ms[size - 1] / 1e3, ticks[size / 2] / 1e2,
-                    ticks[size - 1] / 1e2, discovery.calls.get());
+                    ticks[size - 1] / 1e2, discovery.fullListCalls.get());
         } finally {
-            processes.forEach(RunCommand::close);
-            for (RunCommand run : processes) {
+            processes.forEach(ProxyProcess::close);
+            for (ProxyProcess run : processes) {
                 run.process.waitFor();
             }
         }
     }
 
-    private static long awaitReady(RunCommand run, int port, long[] ticks, int at) {
-        while (System.nanoTime() - run.startedNs < TimeUnit.SECONDS.toNanos(LIMIT_S)) {
+    private static long awaitReady(ProxyProcess run, int port, long[] ticks, int at) {
+        while (System.nanoTime() - run.startNs < TimeUnit.SECONDS.toNanos(LIMIT_S)) {
             try (Socket socket = new Socket(InetAddress.getByName(HOST), port)) {
                 socket.setSoTimeout(10_000);
                 Peer.Message answer = new Bench.Client(socket, socket.getInputStream())
                         .send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer();
                 if (answer != null && answer.line().split(" ")[1].equals("200")) {
-                    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - run.startedNs);
-                    ticks[at] = run.processorTicks();
+                    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - run.startNs);
+                    ticks[at] = run.cpuTicks();
                     return tookMs;
                 }
             } catch (IOException e) {
