--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -42,45 +42,50 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connections to backends: sends one exchange at a time on each and tells how it ended. It sends nothing
- * again by itself.
+ * A pool of keep-alive connections to backends. Each connection carries one exchange at a time, and each
+ * exchange reports how it ended to its receiver. The pool never repeats a request by itself. For the proxy's
+ * loop only.
  */
 final class BackendPool {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
-    /** A body up to this is held whole. */
+    /** A body up to this size is buffered as a whole; a larger one is forwarded as it arrives. */
     static final int MOST_BODY = 64 << 10;
-    /** The largest body that is passed on. */
+    /** The largest request or response body that the proxy forwards. */
     static final long MOST_LARGE = 32 << 20;
-    /** An idle connection is given up so long before the backend would close it, maybe under a request. */
+    /**
+     * An idle connection is closed this long before the backend's keep-alive time-out, so that the backend
+     * doesn't close it while a request is being sent.
+     */
     private static final long IDLE_MARGIN_US = 1_000_000;
 
     /**
-     * A connection rests for so long after an answer: a backend at fault may send a second one some
-     * milliseconds late, which the next request would be given. Those seen came after 1 to 18 ms.
+     * A connection is not reused for this long after an answer. A faulty backend may send a second answer
+     * after the first one, which would be taken for the answer to the next request. Such answers came 1 to 18
+     * ms late.
      */
     static final long REST_MS = 20;
-    /** Further tries of a connection for which this machine had no descriptor, port or buffer. */
+    /** Retries of a connection attempt that failed because this machine had no descriptor, port or buffer. */
     private static final int MOST_LOCAL_FAILURES = 4;
-    /** The pause before the first of them; doubled before each further one. */
+    /** The delay before the first retry of a connection attempt; doubled before each further retry. */
     private static final long FIRST_LOCAL_PAUSE_MS = 1;
 
     private final Bootstrap bootstrap;
     private final EventLoop loop;
     private final Sockets sockets;
     private final long idleUs;
-    /** Idle connections of each backend, the most recently used last. */
+    /** The idle connections to each backend, the most recently used last. */
     private final Map<InetSocketAddress, ArrayDeque<Connection>> idle = new HashMap<>();
-    /** All of them, the longest idle first. */
+    /** All idle connections, the longest idle first. */
     private final Set<Connection> idleOrder = new LinkedHashSet<>();
-    /** Backends to which no connection is kept. */
+    /** Backends to which no idle connections are kept. */
     private Set<InetSocketAddress> retired = Set.of();
 
     BackendPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long keepAliveUs) {
         this(loop, sockets, connectTimeoutUs, keepAliveUs, TcpChannel::new);
     }
 
-    /** With a way of getting channels, which a test may have fail. */
+    /** Creates a pool with a given channel factory, so that tests can make the opening of sockets fail. */
     BackendPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long keepAliveUs,
             ChannelFactory<NioSocketChannel> channels) {
         this.loop = loop;
@@ -93,10 +98,11 @@
     }
 
     /**
-     * Begins an exchange.
+     * Starts an exchange.
      *
-     * @param request asked for just before the first byte goes out; null where nothing may go out any more
-     * @param receiver told once how it ended, perhaps before this method returns
+     * @param request called just before the first byte is written; returns null if nothing must be sent any
+     *     more
+     * @param receiver notified once of the end of the exchange, possibly before this method returns
      */
     Exchange begin(InetSocketAddress address, Supplier<HttpRequest> request, Receiver receiver) {
         Exchange exchange = new Exchange(request, receiver);
@@ -111,7 +117,7 @@
         } else if (sockets.take()) {
             connect(address, exchange);
         } else {
-            // No descriptor is left here, which says nothing about the backend.
+            // This proxy has no descriptor left, which is no failure of the backend.
             exchange.end(Answer.of(Outcome.NOT_SENT));
         }
     }
@@ -137,9 +143,9 @@
     }
 
     /**
-     * This machine had no descriptor, port or buffer for the connection, which says nothing about the
-     * backend. Another try follows soon, on an idle connection first, but only a few: on a machine that stays
-     * without, the loop must not spin.
+     * Retries after a connection attempt failed because this machine had no descriptor, port or buffer, which
+     * is no failure of the backend. A retry uses an idle connection if there is one by then. Retries are
+     * limited, so that the event loop doesn't spin while the resource remains unavailable.
      */
     private void notConnectedHere(InetSocketAddress address, Exchange exchange) {
         exchange.connection = null;
@@ -157,7 +163,11 @@
         }, FIRST_LOCAL_PAUSE_MS << exchange.localFailures++, TimeUnit.MILLISECONDS);
     }
 
-    /** Of those rested the one used last: the others then grow old and close, and a warm one serves. */
+    /**
+     * Takes the most recently used idle connection whose reuse delay has passed, or returns null if there is
+     * none. That one is the least likely to have been closed by the backend, and connections that are not
+     * needed expire.
+     */
     private Connection takeIdle(InetSocketAddress address) {
         ArrayDeque<Connection> free = idle.get(address);
         if (free == null) {
@@ -185,6 +195,9 @@
         return null;
     }
 
+    /**
+     * Returns a connection to the pool after an exchange, or closes it if its backend's are not to be kept.
+     */
     private void keep(Connection connection) {
         connection.current = null;
         if (!connection.channel.isActive()) {
@@ -200,6 +213,7 @@
         idleOrder.add(connection);
     }
 
+    /** Closes a connection and removes it from the idle ones. */
     private void drop(Connection connection) {
         ArrayDeque<Connection> free = idle.get(connection.address);
         if (free != null && free.remove(connection) && free.isEmpty()) {
@@ -209,7 +223,10 @@
         connection.channel.close();
     }
 
-    /** To these backends no connection is kept from now on; those in use close when their exchange ends. */
+    /**
+     * Replaces the set of backends to which no idle connections are kept. Closes the idle connections to
+     * them; connections in use are closed when their exchange ends.
+     */
     void retire(Set<InetSocketAddress> addresses) {
         retired = addresses;
         for (InetSocketAddress address : addresses) {
@@ -220,7 +237,7 @@
         }
     }
 
-    /** Closes the connection that was idle longest; false where none is. */
+    /** Closes the connection that has been idle for longest; returns false if no connection is idle. */
     boolean evict() {
         if (idleOrder.isEmpty()) {
             return false;
@@ -229,7 +246,10 @@
         return true;
     }
 
-    /** Reads {@code name=value,name=value}; null where there is nothing. */
+    /**
+     * Parses a load report of the form {@code name=value,name=value}. Returns null if the text is missing or
+     * blank, or if one of its values is not a number.
+     */
     static LoadReport report(String text) {
         if (text == null || text.isBlank()) {
             return null;
@@ -254,51 +274,61 @@
         return new LoadReport(values[0], values[1], values[2]);
     }
 
-    /** Who waits for what an exchange brings. */
+    /** Receives the answer to an exchange. */
     interface Receiver {
 
         /**
-         * A served answer too large to be held begins; it is told here before it has ended.
+         * Called when an answer with status 200 proves too large to be buffered, before all of it has been
+         * received.
          *
-         * @param length of its body; negative where it is not told
-         * @return where the body goes; null where nobody wants it any more
+         * @param length the length of the body in bytes; negative if the backend did not declare it
+         * @return the sink for the body; null if the answer is not needed any more
          */
         default Sink began(Exchange exchange, String type, long length) {
             return null;
         }
 
-        /** For so long an answer of unknown length is held, as it may prove small; negative: to its end. */
+        /**
+         * Returns for how long an answer of unknown length is buffered, in case it is small enough to be
+         * delivered as a whole. Negative: until it is complete or exceeds {@link #MOST_BODY}.
+         */
         default long holdUs() {
             return -1;
         }
 
+        /** Called once, when the exchange has ended. */
         void ended(Answer answer);
     }
 
-    /** Takes a large answer's body, part by part. */
+    /** Takes the body of a large answer, part by part. */
     interface Sink {
 
-        /** Takes a part over; false where no more should come until {@link Exchange#resume}. */
+        /**
+         * Takes ownership of the next part. Returns false if no further part should be delivered until
+         * {@link Exchange#resume} is called.
+         */
         boolean part(ByteBuf content);
 
-        /** No more is there at the moment. */
+        /** Flushes the parts written so far; called when no more bytes are available to read. */
         void flush();
 
-        /** All of it has come. */
+        /** Completes the body: all of its parts have been delivered. */
         void end();
 
-        /** No more will come, though it is not whole. */
+        /** Aborts the body: it is incomplete, and no further part will be delivered. */
         void broken();
     }
 
-    /** One request to a backend and what comes back. */
+    /** A request to a backend and the answer to it. */
     final class Exchange {
         private final Supplier<HttpRequest> request;
         private final Receiver receiver;
         private Connection connection;
         private int localFailures;
         private Upload upload;
+        /** Whether the request has been handed to a connection for writing. */
         private boolean begun;
+        /** Whether the request's last byte has been written. */
         private boolean written;
         private boolean done;
 
@@ -307,7 +337,7 @@
             this.receiver = receiver;
         }
 
-        /** Stops waiting: the backend sees its connection close. Nothing is told to the receiver. */
+        /** Cancels the exchange by closing its connection. The receiver is not notified. */
         void abandon() {
             if (!done) {
                 done = true;
@@ -318,25 +348,30 @@
             }
         }
 
-        /** False while no byte of the request can have left. */
+        /** Returns whether a byte of the request may have been sent. */
         boolean begun() {
             return begun;
         }
 
-        /** The answer's sink takes more. */
+        /** Resumes reading of the answer; called when its sink can take more. */
         void resume() {
             if (!done) {
                 connection.channel.config().setAutoRead(true);
             }
         }
 
+        /**
+         * Writes the request on a connection, or returns the connection to the pool if nothing must be sent.
+         */
         private void write(Connection free) {
             HttpRequest message = null;
             try {
                 message = done ? null : request.get();
             } catch (RuntimeException e) {
-                // A request that can't be put into words must not take the connection with it.
-                LOG.atError().addKeyValue("backend", free.address).setCause(e).log("request not sent");
+                // A request that can't be encoded must not cost the connection, which was only just
+                // established.
+                LOG.atError().addKeyValue("backend", free.address).setCause(e)
+                        .log("failed to build the request, so it is not sent");
             }
             if (message == null) {
                 keep(free);
@@ -358,7 +393,8 @@
         private void written(Connection used, boolean success) {
             written = success;
             if (!written) {
-                // Before the connection's end is seen, which would end an answer that has no length.
+                // Reported before the close of the connection is processed, which would count as the regular
+                // end of an answer without a declared length.
                 used.channel.close();
                 if (!done) {
                     used.lost();
@@ -366,13 +402,17 @@
             }
         }
 
+        /** Stops an upload from writing to this exchange's connection. */
         private void detach() {
             if (upload != null) {
                 upload.detach(connection.channel);
             }
         }
 
-        /** The connection is gone: the backend begins a request only when its last byte has come. */
+        /**
+         * Ends the exchange after the connection was lost. A backend does not start to process a request
+         * before it has received its last byte, so until that is written the request can't have run.
+         */
         private void lost() {
             end(Answer.of(written ? Outcome.RESET : Outcome.CONNECT_FAILED));
         }
@@ -398,14 +438,14 @@
         }
     }
 
-    /** An answer on its way in. */
+    /** An answer that is being received. */
     private static final class Incoming {
         final HttpResponse head;
-        /** Of the body; negative where it is not told. */
+        /** The declared length of the body in bytes; negative if not declared. */
         final long length;
-        /** What is held of it, while it may yet be small. */
+        /** The body received so far; empty once the answer has a sink. */
         ByteBuf held = Unpooled.buffer(256);
-        /** Bytes that came, of answers whose body nobody needs. */
+        /** The number of bytes received of a body that is discarded because the status is not 200. */
         long passed;
         Sink sink;
         Future<?> hold;
@@ -430,14 +470,15 @@
                 return new Answer(Outcome.OK, sink == null ? ByteBufUtil.getBytes(held) : null, type(), load,
                         false);
             }
-            // Only this mark proves that the request never ran; any other status may come after its effect.
+            // Only this header proves that the request never ran. With any other answer it may have taken
+            // effect.
             boolean turnedAway = (status.code() == 503 || status.code() == 504)
                     && "1".equals(head.headers().get("X-Rejected"));
             return new Answer(turnedAway ? Outcome.FULL : Outcome.ERROR, null, null, load,
                     status.equals(HttpResponseStatus.BAD_REQUEST));
         }
 
-        /** No more of it is held, and none waited for. */
+        /** Releases the buffered body and cancels the timer of the buffering. */
         void release() {
             held.release();
             if (hold != null) {
@@ -446,17 +487,18 @@
         }
     }
 
-    /** A connection to a backend, with at most one exchange on it. */
+    /** A connection to a backend, which carries at most one exchange at a time. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress address;
         private Channel channel;
         private Exchange current;
-        /** The answer to the current exchange as far as it has come, or null. */
+        /** The answer to the current exchange while it is being received; else null. */
         private Incoming incoming;
-        /** Between an interim answer's head and its end. */
+        /** True from the head of an interim (1xx) answer to its end. */
         private boolean interim;
-        /** The answer to the current exchange, until all that came with it has been read. */
+        /** The complete answer to the current exchange, until the current read is complete; else null. */
         private Answer answer;
+        /** Whether the connection can carry another exchange after the current one. */
         private boolean reusable;
         private long idleSince;
         private long restsUntil = System.nanoTime();
@@ -467,8 +509,8 @@
         }
 
         /**
-         * Reads what the system has by now: where the loop is late, a second answer or the connection's end
-         * may lie unread, however long it has rested.
+         * Reads all bytes that the system has received by now. If the event loop is delayed, a second answer
+         * or the end of the connection may still be unread, even after the reuse delay.
          */
         private void readNow() {
             if (channel.isActive()) {
@@ -490,17 +532,22 @@
             }
         }
 
-        /** Bytes that nobody asked for, or that make no sense: what follows can't be trusted. */
+        /**
+         * Closes the connection after unexpected or malformed bytes, since nothing after them can be
+         * attributed to a request.
+         */
         private void reject() {
             reusable = false;
             channel.close();
         }
 
+        /** Handles the head of an answer. */
         private void begin(HttpResponse head) {
             if (current == null || answer != null || incoming != null
                     || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                     || Framing.codedOddly(head)) {
-                // Nor is a body the backend's whose transfer coding is not undone here.
+                // An answer with a transfer coding other than chunked is rejected too: it would not be
+                // decoded.
                 reject();
                 return;
             }
@@ -521,6 +568,7 @@
             }
         }
 
+        /** Handles a part of an answer's body. */
         private void part(HttpContent content) {
             if (interim || incoming == null) {
                 interim &= !(content instanceof LastHttpContent);
@@ -530,7 +578,8 @@
             if (!incoming.serves()) {
                 incoming.passed += size;
                 if (incoming.passed > MOST_BODY) {
-                    // Its head has told all; what follows is not worth the reading.
+                    // Only the head of such an answer is needed: closing is cheaper than reading a large
+                    // body.
                     reusable = false;
                     complete();
                     channel.close();
@@ -553,6 +602,7 @@
             }
         }
 
+        /** Handles the end of an answer's body. */
         private void complete() {
             answer = incoming.answer();
             if (incoming.sink != null) {
@@ -562,6 +612,7 @@
             incoming = null;
         }
 
+        /** Starts to forward an answer of unknown length whose buffering time is over. */
         private void passOn() {
             if (incoming != null && incoming.sink == null && current != null) {
                 pass();
@@ -571,7 +622,9 @@
             }
         }
 
-        /** From now on the answer is handed on as it comes. */
+        /**
+         * Passes the buffered part of the answer to the receiver's sink; the rest follows as it is received.
+         */
         private void pass() {
             incoming.sink = current.receiver.began(current, incoming.type(), incoming.length);
             if (incoming.sink == null) {
@@ -590,6 +643,7 @@
             }
         }
 
+        /** Discards the answer that is being received. */
         private void forget() {
             if (incoming != null) {
                 incoming.release();
@@ -598,8 +652,9 @@
         }
 
         /**
-         * Only now is the answer told: whoever hears of it may send the next request on this connection, and
-         * that would be given what came behind the answer.
+         * Reports a complete answer only at the end of the read. The receiver may send the next request on
+         * this connection at once, and bytes that follow the answer would then be taken for the answer to
+         * that request.
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
@@ -631,6 +686,10 @@
             forget();
         }
 
+        /**
+         * Ends the current exchange after the connection was lost, and aborts an answer that is being
+         * forwarded.
+         */
         private void lost() {
             if (incoming != null && incoming.sink != null && !current.done) {
                 incoming.sink.broken();
@@ -642,14 +701,15 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (current != null && answer == null) {
-                // A body without a length ends with the connection; but one that breaks has not ended.
+                // A body without a declared length ends when the connection is closed. After an error it is
+                // incomplete instead, so the loss is reported before the close.
                 lost();
             }
             context.close();
         }
     }
 
-    /** The body of an answer to a probe as text. */
+    /** Returns the body of an answer to a probe as text, or null if there is no body. */
     static String text(byte[] body) {
         return body == null ? null : new String(body, StandardCharsets.US_ASCII);
     }
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -38,46 +38,67 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Translates between sockets and the decision module: events in, actions out. It decides nothing but what the
- * protocol leaves no choice in. The module must not be called from within its own actions, so whatever
- * happens while it decides is told to it afterwards.
+ * Connects the proxy's sockets to the decision module: passes network events to the module and carries out
+ * the actions that the module calls. It takes no routing decision itself; it only applies limits that the
+ * protocol dictates. The module must not be called from within its own actions, so events that occur during
+ * such a call are queued and passed on afterwards.
  */
 final class Driver {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
     private static final Logger SHARED = LoggerFactory.getLogger("shared");
     private static final Logger DECISIONS = LoggerFactory.getLogger("decisions");
-    /** If nothing else was in time, a request is answered as failed so long before its client gives up. */
+    /** A request that still has no answer this long before its deadline is answered as failed. */
     private static final long GUARD_US = 20_000;
-    /** An answer so long after its time is late; later still it is lost. */
+    /** An answer later than this after its deadline violates {@link Rule#ANSWERED_IN_TIME}. */
     private static final long ANSWER_SLACK_US = 500_000;
-    /** The process may be held up for so long between reading its clock and writing. */
+    /** The process may be paused for up to this long between reading its clock and writing to a socket. */
     private static final long HELD_UP_US = 150_000;
-    /** Nothing is begun in this last part of a drain's grace: word of it was read later than told. */
+    /**
+     * No attempt starts in this last part of a drain's grace period, because the proxy may read the notice of
+     * the drain later than the server counts the period from.
+     */
     private static final long GRACE_MARGIN_US = 100_000;
 
-    /** An answer of unknown length is held for this part of its aim, to see whether it is a large one. */
+    /**
+     * An answer of unknown length is buffered for its class's aim divided by this number, in case it is small
+     * enough to be sent as a whole.
+     */
     private static final int HOLD_PART = 10;
 
-    /** Told once that an answer's last byte was written to its client's connection, or never will be. */
+    /**
+     * Notified exactly once for each answer: when its last byte has been written to the client's connection,
+     * or when it can no longer be written.
+     */
     @FunctionalInterface
     interface Delivery {
         void ended(boolean written);
     }
 
-    /** Where a request's final answer goes; exactly one of the methods is called, once. */
+    /**
+     * The client that waits for a request's final answer. Exactly one of the methods that take a {@link
+     * Delivery} is called, and only once.
+     */
     interface Client {
-        /** Whether the client is still there, by all that has come from it by now. */
+        /**
+         * Returns whether the client is still connected, after reading all bytes that the system has received
+         * from it by now.
+         */
         boolean connected();
 
-        /** Whether its connection is open, by what was read of it so far. */
+        /** Returns whether the client's connection is open, judged by the bytes read so far. */
         default boolean open() {
             return true;
         }
 
         void served(byte[] body, String type, Delivery delivery);
 
-        /** The answer is a large one and comes in parts; its length is negative where it is not told. */
+        /**
+         * Starts a large answer whose body follows in parts.
+         *
+         * @param length the length of the body in bytes; negative if the backend did not declare it
+         * @return the sink that takes the body
+         */
         BackendPool.Sink begins(BackendPool.Exchange from, String type, long length, Delivery delivery);
 
         void refused(long retryAfterUs, Delivery delivery);
@@ -86,71 +107,81 @@
     }
 
     /**
-     * A request as it came.
+     * A request as received from a client.
      *
-     * @param idempotencyKey null where it carries none
-     * @param body all of it; null where it is an upload
-     * @param upload a body too large to be held; null where there is none
+     * @param idempotencyKey null if the request carries none
+     * @param body the complete body; null if the body is an upload
+     * @param upload a body that is too large to be buffered; null if there is none
      * @param type the content type, or null
-     * @param takenAtUs when its last byte came
+     * @param timeLeftUs how long the client waits for the answer, from the request's last byte
+     * @param workUs the expected work on a standard core; 0 if unknown
+     * @param again whether the client marked the request as a retry
+     * @param takenAtUs when the request's last byte was received
      */
     record Inbound(String callId, HttpMethod method, String uri, String idempotencyKey, byte[] body,
             Upload upload, String type, int requestClass, int tenant, long timeLeftUs, long workUs,
             boolean again, long takenAtUs) {
 
-        /** The same request with its body, once that has come or begins to be passed on. */
+        /**
+         * Returns the same request with its body: complete, or as an upload that is forwarded from now on.
+         */
         Inbound with(byte[] whole, Upload passing, long atUs) {
             return new Inbound(callId, method, uri, idempotencyKey, whole, passing, type, requestClass,
                     tenant, timeLeftUs, workUs, again, atUs);
         }
     }
 
-    /** A backend as discovery last listed it. */
+    /** A backend as listed most recently by discovery. */
     private static final class Backend {
         InetSocketAddress address;
         ServerStatus status;
-        /** Its line as it was last told. */
+        /** The entry from the most recent list that contained the backend. */
         Listing.Entry told;
-        /** Its line of the list, for a module that comes later; null for one not listed as up. */
+        /** The server as passed to the modules, kept for later modules; null unless it is listed as up. */
         Server listed;
-        /** When this proxy was told that it drains or is gone. */
+        /** When this proxy was notified that the backend is draining or gone. */
         long downSinceUs;
     }
 
-    /** What is in force for new requests. */
+    /** The settings that apply to new requests. */
     private Settings settings;
     private final Clock clock;
     private final EventLoop loop;
     private final BackendPool pool;
-    /** Until when servers rest, by the module's word. */
+    /** The ejected servers, each with the time at which its ejection ends. */
     private final Map<String, Long> resting = new HashMap<>();
-    /** The module that takes new requests, and those before it that still hold some, oldest first. */
+    /** The module that takes new requests. */
     private Deciding newest;
+    /** The newest module and the earlier ones that still have pending requests, oldest first. */
     private final List<Deciding> modules = new ArrayList<>();
     private long seed;
-    /** Requests that have ended, and those of them not served, since the newest settings. */
+    /** The number of requests that have ended since the newest settings were applied. */
     private long requestsEnded;
+    /** The number of those requests that were refused or failed. */
     private long requestsFailed;
     private final Map<String, Backend> backends = new HashMap<>();
-    /** All backends that were ever listed or called out. */
+    /** All backends that were ever listed or in maintenance. */
     private final Set<String> known = new HashSet<>();
-    /** Backends that the operators called out: nothing goes to them, whatever lists say. */
+    /** Backends in maintenance: nothing is sent to them, whatever their status in the list. */
     private final Set<String> out = new HashSet<>();
     private final PendingRequests requests;
     private final HealthProbes probes;
     private final StartTimes starts;
     private final Invariants invariants = new Invariants();
     private long lastId;
-    /** Requests that come from then on must have their answer by then, whatever time their clients give. */
+    /** From this time on the deadlines of new requests are limited to {@link #answerByUs}. */
     private long boundFromUs = Long.MAX_VALUE;
+    /** The latest deadline of a request received at {@link #boundFromUs} or later. */
     private long answerByUs = Long.MAX_VALUE;
-    /** The latest time at which a request held so far is due. */
+    /** The latest deadline of all requests received so far. */
     private long lastDueUs;
+    /** True while a module handles an event. */
     private boolean deciding;
+    /** Run when the newest module asks discovery to report changes. */
     private Runnable watch = () -> { };
-    /** Null where no metrics are kept. */
+    /** Null if metrics are disabled. */
     private final Meters meters;
-    /** Null where nothing is shared with other proxies. */
+    /** Null if no state is shared with other proxies. */
     private SharedState shared;
 
     Driver(Config config, Clock clock, EventLoop loop, BackendPool pool) {
@@ -171,7 +202,7 @@
         modules.add(newest);
     }
 
-    /** One decision module, and what it may do. */
+    /** A decision module together with the actions that it may call. */
     final class Deciding implements Actions {
         final Balancer balancer = new Logic(settings, seed, this);
         int requests;
@@ -203,7 +234,7 @@
 
         @Override
         public void wakeAt(long atUs) {
-            // Never at once: a time already past would keep the loop turning in place.
+            // At least one tick later: with a time in the past the loop would otherwise spin.
             long delayUs = Math.max(settings.tickUs(), atUs - clock.nowUs());
             loop.schedule(() -> enter(() -> balancer.timer(Math.max(atUs, clock.nowUs()))), delayUs,
                     TimeUnit.MICROSECONDS);
@@ -253,7 +284,7 @@
         }
     }
 
-    /** Tells all modules that still hold requests. */
+    /** Passes an event to the newest module and to all earlier ones that still have pending requests. */
     private void all(Consumer<Balancer> event) {
         for (Deciding module : List.copyOf(modules)) {
             event.accept(module.balancer);
@@ -261,8 +292,8 @@
     }
 
     /**
-     * From now on new requests are decided on by a new module with these settings; those held stay with
-     * theirs. Classes and tenants must be the ones there are, by number.
+     * Creates a module with these settings for all new requests; pending requests stay with their modules.
+     * The settings must have the same classes and tenants, in the same order, as the current ones.
      */
     void adopt(Settings next) {
         enter(() -> {
@@ -283,35 +314,41 @@
         });
     }
 
-    /** Servers that the module rests now. */
+    /** Returns the servers that are ejected at present. */
     List<String> resting() {
         long now = clock.nowUs();
         resting.values().removeIf(untilUs -> untilUs <= now);
         return List.copyOf(resting.keySet());
     }
 
-    /** Requests that have ended since the newest settings came. */
+    /** Returns the number of requests that have ended since the newest settings were applied. */
     long requestsEnded() {
         return requestsEnded;
     }
 
-    /** Those of them that were not served, and whose clients had not gone. */
+    /**
+     * Returns the number of requests, out of {@link #requestsEnded}, that were refused or failed while their
+     * clients were connected.
+     */
     long requestsFailed() {
         return requestsFailed;
     }
 
-    /** What to do when the module asks for changes to the list. */
+    /** Sets the action to run when the module asks discovery to report changes of the list. */
     void onWatch(Runnable action) {
         watch = action;
     }
 
-    /** From now on the module's verdicts and spendings are shared, and others' reach it. */
+    /**
+     * Starts to share the module's verdicts and budget use with other proxies, and to pass theirs to the
+     * module.
+     */
     void share(SharedState state) {
         shared = state;
         loop.execute(state::start);
     }
 
-    /** What the module is told of what others hold; see {@link SharedState.Module}. */
+    /** Passes the state received from other proxies to the decision module. */
     final class FromPeers implements SharedState.Module {
         @Override
         public void verdict(String server, Verdict verdict, long untilMs) {
@@ -322,7 +359,7 @@
 
         @Override
         public void serverBudget(String server, long left, long untilMs) {
-            // The newest alone: two modules with the same tokens would spend them twice.
+            // Only to the newest module: two modules with the same tokens would spend them twice.
             enter(() -> newest.balancer.serverBudget(clock.nowUs(), server, left, untilMs * 1000));
         }
 
@@ -338,7 +375,7 @@
         }
     }
 
-    /** What comes of attempts. */
+    /** Receives the results of attempts. */
     private final UpstreamAttempt.Listener attempts = new UpstreamAttempt.Listener() {
         @Override
         public BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
@@ -365,38 +402,38 @@
         return clock;
     }
 
-    /** What is checked at run time. */
+    /** Returns the invariants that are checked at run time. */
     Invariants invariants() {
         return invariants;
     }
 
-    /** Whether every request that was taken has ended. */
+    /** Returns whether every request received so far has ended. */
     boolean isIdle() {
         return requests.isEmpty();
     }
 
-    /** Requests whose clients wait for an answer past their deadline: there must never be any. */
+    /** Returns the requests past their deadlines whose clients still wait; there must never be any. */
     List<PendingRequest> overdue() {
         return requests.overdue();
     }
 
-    /** Writes what has not ended to the log, at level debug. */
+    /** Logs all requests that have not ended, at level debug. */
     void logPending(String why) {
         requests.logAll(why);
     }
 
-    /** Whether some backend could be sent a request. */
+    /** Returns whether at least one backend is listed as up and not in maintenance. */
     boolean canServe() {
         return backends.entrySet().stream()
                 .anyMatch(b -> b.getValue().status == ServerStatus.UP && !out.contains(b.getKey()));
     }
 
-    /** Whether the backend was ever listed or called out. */
+    /** Returns whether the backend was ever listed or in maintenance. */
     boolean knows(String backend) {
         return known.contains(backend);
     }
 
-    /** The backends that are called out. */
+    /** Returns the backends in maintenance. */
     Set<String> out() {
         return Set.copyOf(out);
     }
@@ -404,20 +441,20 @@
     // ---- events
 
     /**
-     * A list came, or changes of it.
+     * Applies a list of backends, or changes to it, received from discovery. Times are by the driver's clock.
      *
-     * @param toldUs since when what it tells may count as told, by the driver's clock
-     * @param currentUs when the list held before was known to be current, likewise; the least value where it
+     * @param toldUs the earliest time at which discovery may count this proxy as notified of the changes
+     * @param currentUs when the previous list was last known to be current; {@link Long#MIN_VALUE} if it
      *     never was
      */
     void listChanged(ListKind kind, List<Listing.Entry> entries, long toldUs, long currentUs) {
         if (shared != null) {
-            // Before the module sees a cold server, it must know what it may send there.
+            // First, because the module needs the budget of a cold server before it sees the server.
             shared.listed(kind == ListKind.CHANGES, entries.stream().map(Listing.Entry::server).toList());
         }
         enter(() -> {
             long now = clock.nowUs();
-            // Also as a whole list only what differs costs anything; the first tells all there is.
+            // A full list is reduced to its differences from the previous one, to save work in the modules.
             ListKind applied = kind == ListKind.REMEMBERED ? kind : ListKind.CHANGES;
             List<Listing.Entry> differing = kind == ListKind.WHOLE ? difference(entries) : entries;
             List<Server> moved = new ArrayList<>();
@@ -457,7 +494,10 @@
         });
     }
 
-    /** What a whole list tells that was not told before; what it does not name is gone. */
+    /**
+     * Returns the entries of a full list that differ from the known backends, and an entry with status GONE
+     * for each known backend that the list does not contain.
+     */
     private List<Listing.Entry> difference(List<Listing.Entry> whole) {
         List<Listing.Entry> differing = new ArrayList<>();
         Set<String> named = new HashSet<>();
@@ -476,7 +516,7 @@
         return differing;
     }
 
-    /** The operator's call about a backend: from now on it is left out, or may serve again. */
+    /** Puts a backend into maintenance or ends its maintenance, at the operator's command. */
     void maintenance(String server, boolean leave) {
         if (!(leave ? out.add(server) : out.remove(server))) {
             return;
@@ -489,18 +529,19 @@
         enter(() -> all(balancer -> balancer.maintenance(clock.nowUs(), server, leave)));
     }
 
-    /** Ends an attempt that is out; the module hears of it once what goes on now is over. */
+    /** Cancels an attempt and reports its outcome to the module in a later task of the event loop. */
     private void callOff(UpstreamAttempt attempt, Outcome outcome) {
         attempt.abandon();
         loop.execute(() -> ended(attempt, Answer.of(outcome)));
     }
 
+    /** Tells the pool to keep no connections to backends in maintenance. */
     private void retire() {
         pool.retire(out.stream().map(backends::get).filter(b -> b != null && b.address != null)
                 .map(b -> b.address).collect(Collectors.toSet()));
     }
 
-    /** Ends what is on its way to a backend and has not begun. */
+    /** Cancels the attempts and probes for a backend of which no byte has been sent yet. */
     private void endConnecting(String server) {
         List<UpstreamAttempt> connecting = requests.all().stream()
                 .flatMap(pending -> pending.attempts.stream())
@@ -524,7 +565,7 @@
         enter(() -> newest.balancer.discoveryFailed(clock.nowUs()));
     }
 
-    /** Takes a request over from a client. */
+    /** Accepts a request from a client and passes it to the newest module. */
     PendingRequest request(Inbound inbound, Client client) {
         long now = clock.nowUs();
         long deadlineUs = dueUs(inbound.takenAtUs(), inbound);
@@ -555,19 +596,25 @@
         return pending;
     }
 
-    /** The process may be ended at that time: requests that come from then on have an answer by it. */
+    /**
+     * Limits deadlines ahead of a shutdown, in which the process may be killed at any time after {@code
+     * atUs}: requests received at {@code fromUs} or later get a deadline of {@code atUs} at the latest.
+     */
     void answerBy(long fromUs, long atUs) {
         boundFromUs = fromUs;
         answerByUs = atUs;
         lastDueUs = Math.max(lastDueUs, atUs);
     }
 
-    /** By then every request taken so far is answered, large bodies on their way apart. */
+    /**
+     * Returns the latest deadline of all requests received so far. By then each is answered, except for those
+     * whose large bodies are still being transferred.
+     */
     long lastDueUs() {
         return lastDueUs;
     }
 
-    /** When a request is due whose last byte came at that time. */
+    /** Returns the deadline of a request whose last byte was received at {@code takenAtUs}. */
     private long dueUs(long takenAtUs, Inbound inbound) {
         long dueUs = takenAtUs + inbound.timeLeftUs();
         if (clock.nowUs() >= boundFromUs) {
@@ -577,12 +624,13 @@
         return dueUs;
     }
 
+    /** Schedules the answer that is given if the request has none shortly before its deadline. */
     private void armGuard(PendingRequest pending, long now) {
         pending.guard = loop.schedule(() -> guard(pending), Math.max(0, pending.deadlineUs - GUARD_US - now),
                 TimeUnit.MICROSECONDS);
     }
 
-    /** The last byte of an upload has come: from now on the request's time runs. */
+    /** Handles the last byte of an upload: the request's deadline and time-outs count from now on. */
     void uploaded(PendingRequest pending) {
         if (pending.answered() || !pending.uploading()) {
             return;
@@ -596,12 +644,13 @@
         enter(() -> pending.module.balancer.uploaded(clock.nowUs(), pending.id));
     }
 
+    /** Schedules the time-out of an attempt. */
     private void limit(UpstreamAttempt attempt, long now, long untilUs) {
         attempt.untilUs = untilUs;
         attempt.timeout = loop.schedule(() -> timedOut(attempt), untilUs - now, TimeUnit.MICROSECONDS);
     }
 
-    /** The client has closed its connection. */
+    /** Handles the close of the client's connection. */
     void clientGone(PendingRequest pending) {
         if (pending.answering != null && !pending.answering.ended) {
             pending.answering.abandon();
@@ -613,20 +662,28 @@
         }
     }
 
-    /** All else is late: the client is answered while it waits; what comes later only informs the module. */
+    /**
+     * Answers a request as failed because no answer was given shortly before its deadline. The outcomes of
+     * its attempts are still passed to the module.
+     */
     private void guard(PendingRequest pending) {
         if (!pending.answered()) {
             boolean waits = pending.attemptsOut == 0;
             finish(pending, Meters.Result.FAILED);
             pending.client.failed(delivery(pending));
             if (waits) {
-                // Else the module might yet send it, and would wait for that attempt's end for ever.
+                // Otherwise the module might still send it, and would wait forever for that attempt's end.
                 enter(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
             }
         }
     }
 
-    /** A large answer begins: the client has it from here on, and nothing else ends the request any more. */
+    /**
+     * Starts to forward a large answer to the client. From now on only the end of this answer, or of the
+     * client's connection, ends the request.
+     *
+     * @return the sink for the answer's body; null if the request has been answered already
+     */
     private BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
             long length) {
         PendingRequest pending = attempt.request;
@@ -645,7 +702,7 @@
         return pending.client.begins(from, type, length, delivery(pending));
     }
 
-    /** When the server could begin: with the last byte of the request. */
+    /** Returns when the server could start to process the attempt: when the request's last byte was sent. */
     private static long begunAtUs(UpstreamAttempt attempt) {
         return attempt.request.uploading() ? attempt.sentAtUs
                 : Math.max(attempt.sentAtUs, attempt.request.uploadedUs);
@@ -690,7 +747,10 @@
         });
     }
 
-    /** What no client sent is failed; it speaks neither against the backend nor for another attempt. */
+    /**
+     * Fails a request that the backend rejected as malformed. This counts as no failure of the backend, and
+     * the request is not retried.
+     */
     private void withdraw(long now, PendingRequest pending) {
         if (!pending.answered()) {
             finish(pending, Meters.Result.FAILED);
@@ -699,12 +759,16 @@
         }
     }
 
+    /** Fails a request for which the module threw an exception. */
     private void fault(PendingRequest pending, RuntimeException e) {
         LOG.atError().addKeyValue("request", pending.inbound.callId()).setCause(e).log("request failed");
         fail(pending.id);
     }
 
-    /** Its answer is given, or its client has gone; who calls this has the answer written. */
+    /**
+     * Records that a request is answered or that its client has gone. The caller writes the answer to the
+     * client's connection.
+     */
     private void finish(PendingRequest pending, Meters.Result result) {
         long now = clock.nowUs();
         invariants.check(result == Meters.Result.GONE || pending.uploading()
@@ -724,14 +788,14 @@
             pending.guard.cancel(false);
         }
         if (pending.uploading()) {
-            // No time-out runs on what will never be whole.
+            // The upload will never be complete, and its attempts have no time-out that would end them.
             pending.attempts.stream()
                     .filter(attempt -> !attempt.ended && attempt != pending.answering)
                     .forEach(attempt -> callOff(attempt, Outcome.CANCELLED));
         }
     }
 
-    /** What is to be told once the answer has left, or can't any more. */
+    /** Returns the listener that ends the request once its answer is written or can't be written any more. */
     private Delivery delivery(PendingRequest pending) {
         return written -> {
             if (!written && LOG.isDebugEnabled()) {
@@ -748,7 +812,7 @@
         }
     }
 
-    /** Calls the module, or does so as soon as it has finished deciding. */
+    /** Runs an event that calls a module: now, or once the current event has been handled. */
     private void enter(Runnable event) {
         if (deciding) {
             loop.execute(() -> enter(event));
@@ -758,8 +822,9 @@
         try {
             event.run();
         } catch (RuntimeException e) {
-            // The process goes on: other requests, and the guards of those concerned, need it.
-            LOG.error("an event failed", e);
+            // The process must keep running for the other requests. Those affected by the exception are
+            // answered by their scheduled guards.
+            LOG.error("failed to handle an event for the decision module", e);
         } finally {
             deciding = false;
         }
@@ -793,7 +858,8 @@
         try {
             attempt.exchange = pool.begin(backend.address, () -> message(attempt, backend), attempt);
         } catch (RuntimeException e) {
-            // Thrown on, it would end the module's turn half-way, and this attempt never.
+            // If rethrown, the exception would interrupt the module in the middle of its event, and the
+            // attempt would never end.
             LOG.atError().addKeyValue("request", pending.inbound.callId()).addKeyValue("backend", server)
                     .setCause(e).log("attempt not begun");
             ended(attempt, Answer.of(Outcome.NOT_SENT));
@@ -803,14 +869,15 @@
     private void timedOut(UpstreamAttempt attempt) {
         if (!attempt.ended) {
             attempt.abandon();
-            // Still connecting, so no byte of it has left.
+            // While the connection is being established, no byte of the request can have been sent.
             ended(attempt, Answer.of(attempt.begun() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
         }
     }
 
     /**
-     * The request for a backend, at the moment its first byte may go out: the connect took time, in which the
-     * request may have ended or the backend may have been told to drain. Null where it must not go out.
+     * Returns the request as sent to a backend, or null if it must not be sent. Called just before the first
+     * byte is written: while the connection was being established, the request may have ended or the backend
+     * may have started to drain.
      */
     private HttpRequest message(UpstreamAttempt attempt, Backend backend) {
         long now = clock.nowUs();
@@ -851,7 +918,7 @@
         return message;
     }
 
-    /** What must hold for each attempt that begins, by all that is known at its first byte. */
+    /** Checks the invariants of an attempt just before its first byte is written. */
     private void checkBeginning(UpstreamAttempt attempt, Backend backend, RequestClass kind, long leftMs) {
         PendingRequest pending = attempt.request;
         long now = clock.nowUs();
@@ -868,7 +935,10 @@
                 Rule.DEADLINE_PASSED_ON, id, state);
     }
 
-    /** Whether nothing may begin at a backend: it was called out, or drains for most of its grace. */
+    /**
+     * Returns whether no attempt may start at a backend, because the backend is in maintenance or its drain's
+     * grace period is over or about to be.
+     */
     private boolean barred(String server, Backend backend) {
         return out.contains(server) || backend.status != ServerStatus.UP && clock.nowUs()
                 >= backend.downSinceUs + settings.rules().drainGraceUs() - GRACE_MARGIN_US;
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -21,28 +21,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks backends how they are, at the module's word, and tells it what came back. Each probe is told once, by
- * {@link #PROBE_US} at the latest. For the proxy's loop only.
+ * Sends health probes to backends when the decision module asks for them. The result of each probe is
+ * reported once, at the latest when {@link #PROBE_US} has passed. For the proxy's loop only.
  */
 final class HealthProbes {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
-    /** A probe without an answer by then has failed; a live backend answers at once, beside its queue. */
+    /**
+     * A probe without an answer after this time has failed. A live backend answers a probe at once, ahead of
+     * the requests in its queue.
+     */
     private static final long PROBE_US = 50_000;
 
-    /** Hears how a probe ended. */
+    /** Receives the result of a probe. */
     interface Listener {
 
         /**
-         * The probe has ended.
+         * Called when a probe has ended.
          *
-         * @param tookUs since it was asked for
-         * @param report what the backend told of its load; null where it told nothing
+         * @param tookUs the time since the probe was requested
+         * @param report the load reported by the backend; null if it reported none
          */
         void probed(String server, Outcome outcome, long tookUs, LoadReport report);
     }
 
-    /** A probe that is out. */
+    /** A probe that has not ended. */
     private static final class Probe {
         final String server;
         final Listener listener;
@@ -63,7 +66,11 @@
     private final boolean loadReports;
     private final Set<Probe> out = new HashSet<>();
 
-    /** Probes over the pool's connections; {@code loadReports} says whether answers tell the load. */
+    /**
+     * Creates probes that use the pool's connections.
+     *
+     * @param loadReports whether to ask backends for their load rather than only for their health
+     */
     HealthProbes(Clock clock, EventLoop loop, BackendPool pool, boolean loadReports) {
         this.clock = clock;
         this.loop = loop;
@@ -71,7 +78,7 @@
         this.loadReports = loadReports;
     }
 
-    /** A probe that is not sent: the backend may not be asked. */
+    /** Reports a probe as not sent, because nothing may be sent to its backend. */
     void skip(String server, Listener listener) {
         listener.probed(server, Outcome.NOT_SENT, 0, null);
     }
@@ -79,8 +86,8 @@
     /**
      * Sends a probe.
      *
-     * @param barred asked just before the first byte goes out, which may be some time later: whether the
-     *         backend may no longer be asked
+     * @param barred called just before the first byte is written, which may be some time later; returns
+     *     whether nothing may be sent to the backend any more
      */
     void send(String server, InetSocketAddress address, BooleanSupplier barred, Listener listener) {
         Probe probe = new Probe(server, listener, clock.nowUs());
@@ -90,12 +97,15 @@
             probe.exchange = pool.begin(address, () -> barred.getAsBoolean() ? null : message(address),
                     answer -> ended(probe, answer));
         } catch (RuntimeException e) {
-            LOG.atError().addKeyValue("backend", server).setCause(e).log("probe not begun");
+            LOG.atError().addKeyValue("backend", server).setCause(e).log("failed to start the probe");
             ended(probe, Answer.of(Outcome.NOT_SENT));
         }
     }
 
-    /** Ends what is on its way to a backend and has not begun; told once what goes on now is over. */
+    /**
+     * Cancels the probes for a backend of which no byte has been sent yet. Their results are reported in a
+     * later task of the event loop.
+     */
     void endConnecting(String server) {
         List<Probe> connecting = out.stream()
                 .filter(probe -> probe.server.equals(server) && !probe.exchange.begun()).toList();
@@ -125,6 +135,9 @@
         probe.listener.probed(probe.server, answer.outcome(), clock.nowUs() - probe.sentAtUs, report(answer));
     }
 
+    /**
+     * Returns the load from the answer's header or, if the header is missing, from its body; null if unknown.
+     */
     private LoadReport report(Answer answer) {
         if (answer.report() != null || !loadReports) {
             return answer.report();
--- a/src/main/java/larkworks/proxy/Invariants.java
+++ b/src/main/java/larkworks/proxy/Invariants.java
@@ -8,28 +8,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rules that hold whatever happens, checked at run time, apart from the code that keeps them. A violation is
- * counted and, once a rule and second, logged with the request's id and state. For the proxy's loop only.
+ * Invariants of request handling, checked at run time independently of the code that maintains them. Each
+ * violation is counted and logged with the request's id and state, at most once per second and rule. For the
+ * proxy's loop only.
  */
 final class Invariants {
 
-    /** What must hold. */
+    /** An invariant. */
     enum Rule {
-        /** A request gets its answer by its deadline and the half second after it. */
+        /** A request is answered at most half a second after its deadline. */
         ANSWERED_IN_TIME,
-        /** No attempt begins for a client that is known to have left, or whose answer is given. */
+        /** No attempt starts for a client that is known to have left or that has been answered. */
         ATTEMPT_FOR_WAITING_CLIENT,
-        /** No attempt begins at a server past the grace of its drain. */
+        /** No attempt starts at a server whose drain's grace period is over. */
         ATTEMPT_WITHIN_GRACE,
-        /** A request that may not run twice begins where each earlier attempt is known not to have run. */
+        /**
+         * A request that must not run twice is sent again only if its earlier attempts are known not to have
+         * run, or if its idempotency key's deduplication window is still open.
+         */
         REPEATED_SAFELY,
-        /** An attempt tells its server no more time than its client has left. */
+        /** The time budget sent to a server does not exceed the time that the client has left. */
         DEADLINE_PASSED_ON,
-        /** Nothing is taken for a request once the sending on its connection has ended. */
+        /** No request is accepted from a connection that is closed or being closed. */
         NO_REQUEST_AFTER_CLOSE,
-        /** No count of sockets, connections or bytes is below zero. */
+        /** No count of sockets, connections or bytes is negative. */
         COUNTS_NOT_NEGATIVE,
-        /** Nothing is left of requests and clients when the process ends. */
+        /** No requests, client connections or buffered bytes are left when the process ends. */
         NOTHING_LEFT
     }
 
@@ -40,12 +44,17 @@
     private final Map<Rule, Long> loggedAtNs = new EnumMap<>(Rule.class);
     private Consumer<Rule> onViolation = rule -> { };
 
-    /** Has each violation told. */
+    /** Sets the action to run at each violation. */
     void onViolation(Consumer<Rule> told) {
         onViolation = told;
     }
 
-    /** Counts a violation where the rule does not hold; {@code state} says in words what it was about. */
+    /**
+     * Counts a violation unless the rule holds.
+     *
+     * @param request the id of the request concerned; empty if there is none
+     * @param state describes the state that violates the rule, for the log
+     */
     void check(boolean holds, Rule rule, String request, Supplier<String> state) {
         if (holds) {
             return;
@@ -62,7 +71,7 @@
         }
     }
 
-    /** Violations so far, of all rules. */
+    /** Returns the number of violations of all rules so far. */
     long count() {
         return violations.values().stream().mapToLong(n -> n).sum();
     }
--- a/src/main/java/larkworks/proxy/Meters.java
+++ b/src/main/java/larkworks/proxy/Meters.java
@@ -23,9 +23,9 @@
 import larkworks.transport.SystemError;
 
 /**
- * What a proxy measures, on Micrometer; its timers tell the median, the 90th and the 99th percentile from
- * HdrHistogram. Recording is for the proxy's loop; {@link #scrape} renders on a thread of its own, so that
- * neither waits for the other. There is one of these only where the configuration asks for metrics.
+ * The proxy's metrics, based on Micrometer. Timers report the 50th, 90th and 99th percentiles from
+ * HdrHistogram. Values are recorded on the proxy's loop; {@link #scrape} renders on a separate thread, so
+ * that neither waits for the other. An instance exists only if the configuration enables metrics.
  *
  * <p>Names: {@code larkworks_requests_seconds{class,result}}, {@code larkworks_attempts_seconds{backend,
  * outcome}}, {@code larkworks_retries_total}, {@code larkworks_lists_total{kind}},
@@ -34,11 +34,11 @@
  */
 final class Meters implements AutoCloseable {
 
-    /** How a request was answered. */
+    /** How a request was answered; GONE if its client closed the connection before the answer. */
     enum Result { SERVED, REFUSED, FAILED, GONE }
 
     private static final double[] PERCENTILES = {0.5, 0.9, 0.99};
-    /** Two digits of a percentile would cost ten times the memory of one, for each backend. */
+    /** Two significant digits would need ten times the memory of one, for each backend. */
     private static final int DIGITS = 1;
     private static final Duration LONGEST = Duration.ofSeconds(60);
 
@@ -79,12 +79,12 @@
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    /** A request has its answer. */
+    /** Records that a request was answered or that its client has gone. */
     void answered(int requestClass, Result result, long tookUs) {
         requests.get(requestClass).get(result).record(tookUs, TimeUnit.MICROSECONDS);
     }
 
-    /** An attempt has ended; {@code number} counts a request's attempts from 0. */
+    /** Records the end of an attempt; {@code number} counts a request's attempts from 0. */
     void attempted(String backend, int number, Outcome outcome, long tookUs) {
         if (number > 0) {
             retries.increment();
@@ -95,7 +95,10 @@
                 .record(tookUs, TimeUnit.MICROSECONDS);
     }
 
-    /** A list has come; meters of backends it no longer holds are dropped, or they would grow for ever. */
+    /**
+     * Records that a list was received. Removes the meters of backends that are no longer listed, as their
+     * number would otherwise grow without limit.
+     */
     void listed(boolean whole, Set<String> present) {
         (whole ? wholeLists : changes).increment();
         attempts.entrySet().removeIf(backend -> {
@@ -107,28 +110,32 @@
         });
     }
 
-    /** A call to discovery has failed. */
+    /** Records that a call to discovery failed. */
     void discoveryFailed() {
         discoveryFailures.increment();
     }
 
-    /** An invariant did not hold. */
+    /** Records the violation of an invariant. */
     void violated(Invariants.Rule rule) {
         registry.counter("larkworks.invariant.violations", "rule", word(rule)).increment();
     }
 
-    /** A connection could not be accepted. */
+    /** Records that a connection could not be accepted. */
     void acceptFailed(SystemError error) {
         registry.counter("larkworks.accept.failures", "error", word(error)).increment();
     }
 
-    /** Has a figure told that is looked at when scraped, from another thread: it must be safe to read. */
+    /**
+     * Registers a gauge whose value is read at each scrape. It is read on another thread, so the value must
+     * be safe to read from there.
+     */
     <T> void gauge(String name, T of, ToDoubleFunction<T> figure, String... tags) {
         Gauge.builder(name, of, figure).tags(tags).strongReference(true).register(registry);
     }
 
     /**
-     * Renders all meters in Prometheus' text format 0.0.4, and hands the text over on the rendering thread.
+     * Renders all meters in the Prometheus text format 0.0.4, and passes the text to {@code taker} on the
+     * rendering thread.
      */
     void scrape(Consumer<String> taker) {
         rendering.execute(() -> taker.accept(registry.scrape()));
--- a/src/main/java/larkworks/proxy/SendGuard.java
+++ b/src/main/java/larkworks/proxy/SendGuard.java
@@ -4,22 +4,22 @@
 import larkworks.Balancer.RequestClass;
 
 /**
- * The one place that says whether an attempt may begin, at the moment when its first byte may go out. The
- * module decided on it earlier: since then a connection had to come up, in which time the request may have
- * ended, its client may have left, its key's window may have passed.
+ * Decides whether an attempt may still be sent, just before its first byte is written. The decision module
+ * chose it before the connection was established; in the meantime the request may have ended, its client may
+ * have left, or the deduplication window of its idempotency key may have passed.
  */
 final class SendGuard {
 
-    /** Whether an attempt may begin, or why not. */
+    /** Whether an attempt may be sent, or the reason why not. */
     enum Verdict { GO, ATTEMPT_ENDED, ANSWERED, SERVER_BARRED, NO_TIME_LEFT, CLIENT_LEFT, MAY_HAVE_RUN }
 
     private SendGuard() { }
 
     /**
-     * Judges an attempt.
+     * Decides whether an attempt may be sent.
      *
-     * @param barred whether nothing may begin at its server any more
-     * @param leftMs what it would tell its server
+     * @param barred whether no attempt may start at its server any more
+     * @param leftMs the time budget that would be sent to the server, in milliseconds
      */
     static Verdict judge(UpstreamAttempt attempt, RequestClass kind, boolean barred, long leftMs,
             long nowUs) {
@@ -41,7 +41,7 @@
         return attempt.request.client.connected() ? Verdict.GO : Verdict.CLIENT_LEFT;
     }
 
-    /** Whether the request may be sent once more, after what became of its earlier attempts. */
+    /** Returns whether the request may be sent again, given the outcomes of its earlier attempts. */
     static boolean repeatsSafely(UpstreamAttempt attempt, RequestClass kind, long nowUs) {
         List<UpstreamAttempt> earlier = attempt.request.attempts.subList(0, attempt.number);
         return switch (kind.effect()) {
--- a/src/main/java/larkworks/proxy/Sockets.java
+++ b/src/main/java/larkworks/proxy/Sockets.java
@@ -11,71 +11,91 @@
 import java.util.function.Consumer;
 
 /**
- * Counts the sockets of this process against its limit. At the limit, connections that only wait for their
- * clients to close go first, then strangers' silent ones, idle ones to backends, and idle ones of clients: a
- * request in flight outweighs a handshake saved.
+ * Counts the sockets of this process against its descriptor limit and closes connections to stay below it.
+ * They are closed in this order: connections that only wait for their clients to close, silent unproven
+ * connections, idle connections to backends, idle connections of clients. Connections with a request in
+ * flight are kept. Only for the proxy's loop, except {@link #open}.
  */
 final class Sockets {
 
-    /** Descriptors for the jar, the selector, standard streams, the listener and discovery. */
+    /** Descriptors reserved for the jar, the selector, the standard streams, the listener and discovery. */
     private static final int RESERVE = 48;
 
     private final int limit;
+    /** The number of descriptors for connections that are not counted here. */
     private final int apart;
+    /** The maximum number of counted sockets. */
     private int most;
-    /** Backends leave this part of the descriptors to clients, whose requests would else be lost unread. */
+    /**
+     * The maximum number of counted sockets with which a connection to a backend may still be opened. The
+     * rest is left to clients: without a descriptor their connections can't be accepted, and their requests
+     * are lost.
+     */
     private int mostForBackends;
     private List<BooleanSupplier> evictors = List.of();
     private Runnable freed = () -> { };
-    /** Changed on the loop only; metrics read it. */
+    /** The number of counted sockets. Changed on the loop only; read by the metrics thread as well. */
     private volatile int open;
 
-    /** Divides the limit; {@code apart} of it are for connections that are not counted here. */
+    /**
+     * Creates a count of sockets with a limit.
+     *
+     * @param limit the number of descriptors that this process may use
+     * @param apart how many of them are for connections that are not counted here
+     */
     Sockets(int limit, int apart) {
         this.limit = limit;
         this.apart = apart;
         divide(limit);
     }
 
+    /** Derives the maximum numbers of sockets from the number of descriptors. */
     private void divide(int all) {
         int left = all - apart;
         most = Math.max(2, left - Math.min(RESERVE, left / 2));
         mostForBackends = Math.max(1, most - most / 8);
     }
 
-    /** Whether another process of this proxy has a part in the limit. */
+    /** Sets whether another process of this proxy shares the limit, which leaves half of it to each. */
     void share(boolean shared) {
         divide(shared ? limit / 2 : limit);
         makeRoom(most + 1);
     }
 
-    /** What is read at a time: enough for large bodies, and little where many come at once. */
+    /**
+     * Returns an allocator for read buffers that grow with the size of recent reads: large enough for large
+     * bodies, yet small when many connections are read at once.
+     */
     static AdaptiveRecvByteBufAllocator readBuffers() {
         return new AdaptiveRecvByteBufAllocator(512, 2048, 32 << 10);
     }
 
-    /** Ways to close a connection, the one that can best be done without first; each false where none is. */
+    /**
+     * Sets the functions that close a connection when sockets run short, in the order in which they are
+     * tried. Each returns false if it has no connection to close.
+     */
     void evictors(BooleanSupplier... ways) {
         evictors = List.of(ways);
     }
 
+    /** Sets the action to run whenever a counted socket is released. */
     void onFreed(Runnable action) {
         freed = action;
     }
 
-    /** Closes connections until fewer than so many are open, or none is left to close. */
+    /** Closes connections until fewer than {@code bound} are open or none is left to close. */
     private void makeRoom(int bound) {
         while (open >= bound && freeOne()) {
-            // Each turn closes one connection, whose closing calls release.
+            // Each iteration closes one connection, and its close calls release().
         }
     }
 
-    /** Closes the connection that can best be done without; false where none can. */
+    /** Closes the most dispensable connection; returns false if none can be closed. */
     boolean freeOne() {
         return evictors.stream().anyMatch(BooleanSupplier::getAsBoolean);
     }
 
-    /** Takes a socket for a connection to a backend; false where none is left. */
+    /** Counts a socket for a new connection to a backend; returns false if none is available. */
     boolean take() {
         makeRoom(mostForBackends);
         if (open >= mostForBackends) {
@@ -86,10 +106,12 @@
     }
 
     /**
-     * Connects with a socket that was taken, which counts until the connection has closed.
+     * Opens a connection for which {@link #take} has counted a socket. The socket counts until the connection
+     * has closed.
      *
-     * @param told on the loop, never before this returns, whether it came up; null: the system gave no socket
-     * @return the connection on its way, or null where the system gave no socket
+     * @param told called on the loop, never before this method returns, with the result of the connection
+     *     attempt; called with null if the system provided no socket
+     * @return the channel that is being connected, or null if the system provided no socket
      */
     Channel connect(Bootstrap bootstrap, EventLoop loop, InetSocketAddress address,
             Consumer<ChannelFuture> told) {
@@ -97,8 +119,8 @@
     }
 
     /**
-     * Connects to discovery. Its one connection is part of the reserve: it needs no socket to be taken, so
-     * that it waits for none and costs nobody else's connection, whoever holds all the others.
+     * Opens the connection to discovery, which uses a reserved descriptor. It is not counted, so that it can
+     * be opened even when all counted sockets are in use, without closing another connection.
      *
      * @see #connect(Bootstrap, EventLoop, InetSocketAddress, Consumer)
      */
@@ -113,12 +135,13 @@
         try {
             connecting = bootstrap.connect(address);
         } catch (RuntimeException e) {
-            // Nothing was opened, so nothing will tell of its closing.
+            // No channel was opened, so no close listener will release the socket.
             ended.run();
             throw e;
         }
         if (!connecting.channel().isRegistered() && connecting.isDone()) {
-            // Such a channel has no loop: it never tells of its closing, and its listeners run elsewhere.
+            // A channel that could not be registered has no event loop: its close future never completes, and
+            // its listeners run on another thread.
             ended.run();
             loop.execute(() -> told.accept(null));
             return null;
@@ -128,23 +151,27 @@
         return connecting.channel();
     }
 
-    /** Counts a client's connection, which is there already; false where there should be no further one. */
+    /**
+     * Counts a connection that was accepted from a client, and closes others if there are too many. Returns
+     * false if no further connection should be accepted for now.
+     */
     boolean accepted() {
         open++;
         makeRoom(most);
         return open < most;
     }
 
-    /** Connections open now. */
+    /** Returns the number of counted sockets. */
     int open() {
         return open;
     }
 
-    /** The sockets that are counted are as many as none or more. */
+    /** Returns whether the count of sockets is consistent, that is, not negative. */
     boolean consistent() {
         return open >= 0;
     }
 
+    /** Ends the counting of a socket whose connection has closed. */
     void release() {
         open--;
         freed.run();
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -4,37 +4,41 @@
 import larkworks.Balancer.Outcome;
 
 /**
- * One sending of a request to a backend, which hears what comes of it. For the proxy's loop only; times are
- * in microseconds by the driver's clock.
+ * An attempt to have a request served by a backend; it passes the result to its listener. For the proxy's
+ * loop only; times are in microseconds by the driver's clock.
  */
 final class UpstreamAttempt implements BackendPool.Receiver {
 
-    /** Who decides on what comes of an attempt. */
+    /** Handles the results of attempts. */
     interface Listener {
 
-        /** A large answer begins; see {@link BackendPool.Receiver#began}. */
+        /** Called when a large answer starts; see {@link BackendPool.Receiver#began}. */
         BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
                 long length);
 
-        /** For so long an answer of unknown length is held; see {@link BackendPool.Receiver#holdUs}. */
+        /**
+         * Returns for how long an answer of unknown length is buffered; see {@link
+         * BackendPool.Receiver#holdUs}.
+         */
         long holdUs(UpstreamAttempt attempt);
 
+        /** Called when the attempt's exchange has ended. */
         void ended(UpstreamAttempt attempt, Answer answer);
     }
 
     final PendingRequest request;
-    /** Counts the attempts of its request, from 0. */
+    /** The position of this attempt among those of its request, from 0. */
     final int number;
     final String server;
     final long sentAtUs;
     private final Listener listener;
-    /** When it is given up; the greatest value while its request's upload lasts. */
+    /** When the attempt times out; {@link Long#MAX_VALUE} until the request's upload is complete. */
     long untilUs;
-    /** Null until it has begun, and where it could not begin. */
+    /** The exchange with the backend; null until it is started and if it could not be started. */
     BackendPool.Exchange exchange;
     Future<?> timeout;
     boolean ended;
-    /** How it ended; null while it is out. */
+    /** The outcome of the attempt; null until it has ended. */
     private Outcome outcome;
 
     UpstreamAttempt(PendingRequest request, int number, String server, long sentAtUs, Listener listener) {
@@ -45,30 +49,30 @@
         this.listener = listener;
     }
 
-    /** Whether a byte of the request may have left for the backend. */
+    /** Returns whether a byte of the request may have been sent to the backend. */
     boolean begun() {
         return exchange != null && exchange.begun();
     }
 
-    /** Notes how it ended. */
+    /** Records the end of the attempt and its outcome. */
     void end(Outcome how) {
         ended = true;
         outcome = how;
     }
 
-    /** Whether its server may have run the request, or may yet. */
+    /** Returns whether the backend may have run the request or may still run it. */
     boolean mayHaveRun() {
         return begun() && (outcome == null || !outcome.provesNotRun);
     }
 
-    /** Closes what it holds; its end must still be told by who calls this. */
+    /** Cancels the exchange with the backend. The caller must still report the attempt's end. */
     void abandon() {
         if (exchange != null) {
             exchange.abandon();
         }
     }
 
-    /** How far it has come, in a word for the log. */
+    /** Returns the attempt's progress or outcome as one word, for the log. */
     String state() {
         return ended ? String.valueOf(outcome) : begun() ? "sent" : "connecting";
     }
