--- a/src/main/java/larkworks/proxy/Adoption.java
+++ b/src/main/java/larkworks/proxy/Adoption.java
@@ -120,7 +120,7 @@
 
     private void send(Channel channel, InetSocketAddress address) throws IOException {
         byte[] body = JSON.writeValueAsBytes(new Report(version, driver.requestsEnded(),
-                driver.requestsFailed(), refused, why, driver.resting()));
+                driver.requestsFailed(), refused, why, driver.ejectedServers()));
         var call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT,
                 "/registry/v1/rollout/reports/" + name, Unpooled.wrappedBuffer(body));
         call.headers().set(HttpHeaderNames.HOST, Addresses.text(address))
@@ -162,7 +162,7 @@
             if (!names(settings).equals(names(first))) {
                 throw new Unusable("rollout", List.of("classes and tenants must stay as they are"));
             }
-            driver.adopt(settings);
+            driver.applySettings(settings);
             LOG.atInfo().addKeyValue("from", version).addKeyValue("to", target.version()).log("adopted");
             version = target.version();
             refused = 0;
--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -50,9 +50,9 @@
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
     /** A body up to this size is buffered as a whole; a larger one is forwarded as it arrives. */
-    static final int MOST_BODY = 64 << 10;
+    static final int MAX_BUFFERED_BODY_BYTES = 64 << 10;
     /** The largest request or response body that the proxy forwards. */
-    static final long MOST_LARGE = 32 << 20;
+    static final long MAX_BODY_BYTES = 32 << 20;
     /**
      * An idle connection is closed this long before the backend's keep-alive time-out, so that the backend
      * doesn't close it while a request is being sent.
@@ -64,7 +64,7 @@
      * after the first one, which would be taken for the answer to the next request. Such answers came 1 to 18
      * ms late.
      */
-    static final long REST_MS = 20;
+    static final long REUSE_DELAY_MS = 20;
     /** Retries of a connection attempt that failed because this machine had no descriptor, port or buffer. */
     private static final int MOST_LOCAL_FAILURES = 4;
     /** The delay before the first retry of a connection attempt; doubled before each further retry. */
@@ -93,7 +93,7 @@
         this.idleUs = Math.max(keepAliveUs / 2, keepAliveUs - IDLE_MARGIN_US);
         this.bootstrap = new Bootstrap().group(loop).channelFactory(channels)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBuffers())
+                .option(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBufferAllocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1000));
     }
 
@@ -104,17 +104,17 @@
      *     more
      * @param receiver notified once of the end of the exchange, possibly before this method returns
      */
-    Exchange begin(InetSocketAddress address, Supplier<HttpRequest> request, Receiver receiver) {
+    Exchange startExchange(InetSocketAddress address, Supplier<HttpRequest> request, Receiver receiver) {
         Exchange exchange = new Exchange(request, receiver);
-        begin(address, exchange);
+        startExchange(address, exchange);
         return exchange;
     }
 
-    private void begin(InetSocketAddress address, Exchange exchange) {
+    private void startExchange(InetSocketAddress address, Exchange exchange) {
         Connection connection = takeIdle(address);
         if (connection != null) {
             exchange.write(connection);
-        } else if (sockets.take()) {
+        } else if (sockets.tryAcquire()) {
             connect(address, exchange);
         } else {
             // This proxy has no descriptor left, which is no failure of the backend.
@@ -158,7 +158,7 @@
         }
         loop.schedule(() -> {
             if (!exchange.done) {
-                begin(address, exchange);
+                startExchange(address, exchange);
             }
         }, FIRST_LOCAL_PAUSE_MS << exchange.localFailures++, TimeUnit.MILLISECONDS);
     }
@@ -227,7 +227,7 @@
      * Replaces the set of backends to which no idle connections are kept. Closes the idle connections to
      * them; connections in use are closed when their exchange ends.
      */
-    void retire(Set<InetSocketAddress> addresses) {
+    void setUnpooledAddresses(Set<InetSocketAddress> addresses) {
         retired = addresses;
         for (InetSocketAddress address : addresses) {
             ArrayDeque<Connection> free = idle.get(address);
@@ -250,7 +250,7 @@
      * Parses a load report of the form {@code name=value,name=value}. Returns null if the text is missing or
      * blank, or if one of its values is not a number.
      */
-    static LoadReport report(String text) {
+    static LoadReport parseLoadReport(String text) {
         if (text == null || text.isBlank()) {
             return null;
         }
@@ -284,15 +284,15 @@
          * @param length the length of the body in bytes; negative if the backend did not declare it
          * @return the sink for the body; null if the answer is not needed any more
          */
-        default Sink began(Exchange exchange, String type, long length) {
+        default AnswerSink streamStarted(Exchange exchange, String type, long length) {
             return null;
         }
 
         /**
          * Returns for how long an answer of unknown length is buffered, in case it is small enough to be
-         * delivered as a whole. Negative: until it is complete or exceeds {@link #MOST_BODY}.
+         * delivered as a whole. Negative: until it is complete or exceeds {@link #MAX_BUFFERED_BODY_BYTES}.
          */
-        default long holdUs() {
+        default long maxBufferingUs() {
             return -1;
         }
 
@@ -301,22 +301,22 @@
     }
 
     /** Takes the body of a large answer, part by part. */
-    interface Sink {
+    interface AnswerSink {
 
         /**
          * Takes ownership of the next part. Returns false if no further part should be delivered until
-         * {@link Exchange#resume} is called.
+         * {@link Exchange#resumeReading} is called.
          */
-        boolean part(ByteBuf content);
+        boolean write(ByteBuf content);
 
         /** Flushes the parts written so far; called when no more bytes are available to read. */
         void flush();
 
         /** Completes the body: all of its parts have been delivered. */
-        void end();
+        void complete();
 
         /** Aborts the body: it is incomplete, and no further part will be delivered. */
-        void broken();
+        void abort();
     }
 
     /** A request to a backend and the answer to it. */
@@ -338,7 +338,7 @@
         }
 
         /** Cancels the exchange by closing its connection. The receiver is not notified. */
-        void abandon() {
+        void cancel() {
             if (!done) {
                 done = true;
                 if (connection != null) {
@@ -349,12 +349,12 @@
         }
 
         /** Returns whether a byte of the request may have been sent. */
-        boolean begun() {
+        boolean hasStarted() {
             return begun;
         }
 
         /** Resumes reading of the answer; called when its sink can take more. */
-        void resume() {
+        void resumeReading() {
             if (!done) {
                 connection.channel.config().setAutoRead(true);
             }
@@ -420,7 +420,7 @@
         private void answered(Answer answer, boolean reusable) {
             Connection used = connection;
             if (reusable && written) {
-                used.restsUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REST_MS);
+                used.restsUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REUSE_DELAY_MS);
                 keep(used);
             } else {
                 used.current = null;
@@ -447,7 +447,7 @@
         ByteBuf held = Unpooled.buffer(256);
         /** The number of bytes received of a body that is discarded because the status is not 200. */
         long passed;
-        Sink sink;
+        AnswerSink sink;
         Future<?> hold;
 
         Incoming(HttpResponse head) {
@@ -465,7 +465,7 @@
 
         Answer answer() {
             HttpResponseStatus status = head.status();
-            LoadReport load = report(head.headers().get("X-Load-Report"));
+            LoadReport load = parseLoadReport(head.headers().get("X-Load-Report"));
             if (serves()) {
                 return new Answer(Outcome.OK, sink == null ? ByteBufUtil.getBytes(held) : null, type(), load,
                         false);
@@ -556,14 +556,14 @@
                 return;
             }
             Incoming begun = new Incoming(head);
-            if (begun.serves() && begun.length > MOST_LARGE) {
+            if (begun.serves() && begun.length > MAX_BODY_BYTES) {
                 begun.release();
                 reject();
                 return;
             }
             incoming = begun;
             reusable = HttpUtil.isKeepAlive(head);
-            if (incoming.serves() && incoming.length > MOST_BODY) {
+            if (incoming.serves() && incoming.length > MAX_BUFFERED_BODY_BYTES) {
                 pass();
             }
         }
@@ -577,7 +577,7 @@
             int size = content.content().readableBytes();
             if (!incoming.serves()) {
                 incoming.passed += size;
-                if (incoming.passed > MOST_BODY) {
+                if (incoming.passed > MAX_BUFFERED_BODY_BYTES) {
                     // Only the head of such an answer is needed: closing is cheaper than reading a large
                     // body.
                     reusable = false;
@@ -589,11 +589,11 @@
                 send(content.content().retain());
             } else if (size > 0) {
                 incoming.held.writeBytes(content.content());
-                if (incoming.held.readableBytes() > MOST_BODY) {
+                if (incoming.held.readableBytes() > MAX_BUFFERED_BODY_BYTES) {
                     pass();
                 } else if (incoming.length < 0 && incoming.hold == null
-                        && current.receiver.holdUs() >= 0) {
-                    incoming.hold = loop.schedule(this::passOn, current.receiver.holdUs(),
+                        && current.receiver.maxBufferingUs() >= 0) {
+                    incoming.hold = loop.schedule(this::passOn, current.receiver.maxBufferingUs(),
                             TimeUnit.MICROSECONDS);
                 }
             }
@@ -606,7 +606,7 @@
         private void complete() {
             answer = incoming.answer();
             if (incoming.sink != null) {
-                incoming.sink.end();
+                incoming.sink.complete();
             }
             incoming.release();
             incoming = null;
@@ -626,9 +626,9 @@
          * Passes the buffered part of the answer to the receiver's sink; the rest follows as it is received.
          */
         private void pass() {
-            incoming.sink = current.receiver.began(current, incoming.type(), incoming.length);
+            incoming.sink = current.receiver.streamStarted(current, incoming.type(), incoming.length);
             if (incoming.sink == null) {
-                current.abandon();
+                current.cancel();
                 forget();
                 return;
             }
@@ -638,7 +638,7 @@
         }
 
         private void send(ByteBuf content) {
-            if (!incoming.sink.part(content)) {
+            if (!incoming.sink.write(content)) {
                 channel.config().setAutoRead(false);
             }
         }
@@ -692,7 +692,7 @@
          */
         private void lost() {
             if (incoming != null && incoming.sink != null && !current.done) {
-                incoming.sink.broken();
+                incoming.sink.abort();
             }
             forget();
             current.lost();
@@ -710,7 +710,7 @@
     }
 
     /** Returns the body of an answer to a probe as text, or null if there is no body. */
-    static String text(byte[] body) {
+    static String asciiText(byte[] body) {
         return body == null ? null : new String(body, StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -129,7 +129,7 @@
         // With a grace of drains shorter than the pause, word of one could come only once that is over.
         this.mostPauseMs = Math.max(FIRST_PAUSE_MS, Math.min(MOST_PAUSE_MS,
                 config.settings().rules().drainGraceUs() / 1000 * 2 / 5));
-        driver.onWatch(this::call);
+        driver.onWatchRequested(this::call);
     }
 
     /**
@@ -241,7 +241,7 @@
             Bootstrap own = new Bootstrap().group(loop).channel(TcpChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.RECVBUF_ALLOCATOR,
-                            Sockets.readBuffers().maxMessagesPerRead(READS_IN_TURN))
+                            Sockets.readBufferAllocator().maxMessagesPerRead(READS_IN_TURN))
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) DiscoveryWaits.FIRST_SILENCE_MS)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -84,10 +84,10 @@
          * Returns whether the client is still connected, after reading all bytes that the system has received
          * from it by now.
          */
-        boolean connected();
+        boolean isConnected();
 
         /** Returns whether the client's connection is open, judged by the bytes read so far. */
-        default boolean open() {
+        default boolean isOpen() {
             return true;
         }
 
@@ -99,7 +99,8 @@
          * @param length the length of the body in bytes; negative if the backend did not declare it
          * @return the sink that takes the body
          */
-        BackendPool.Sink begins(BackendPool.Exchange from, String type, long length, Delivery delivery);
+        BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length,
+                Delivery delivery);
 
         void refused(long retryAfterUs, Delivery delivery);
 
@@ -112,22 +113,22 @@
      * @param idempotencyKey null if the request carries none
      * @param body the complete body; null if the body is an upload
      * @param upload a body that is too large to be buffered; null if there is none
-     * @param type the content type, or null
+     * @param contentType the content type, or null
      * @param timeLeftUs how long the client waits for the answer, from the request's last byte
      * @param workUs the expected work on a standard core; 0 if unknown
-     * @param again whether the client marked the request as a retry
-     * @param takenAtUs when the request's last byte was received
+     * @param clientRetry whether the client marked the request as a retry
+     * @param receivedAtUs when the request's last byte was received
      */
     record Inbound(String callId, HttpMethod method, String uri, String idempotencyKey, byte[] body,
-            Upload upload, String type, int requestClass, int tenant, long timeLeftUs, long workUs,
-            boolean again, long takenAtUs) {
+            Upload upload, String contentType, int requestClass, int tenant, long timeLeftUs, long workUs,
+            boolean clientRetry, long receivedAtUs) {
 
         /**
          * Returns the same request with its body: complete, or as an upload that is forwarded from now on.
          */
-        Inbound with(byte[] whole, Upload passing, long atUs) {
-            return new Inbound(callId, method, uri, idempotencyKey, whole, passing, type, requestClass,
-                    tenant, timeLeftUs, workUs, again, atUs);
+        Inbound withBody(byte[] whole, Upload passing, long atUs) {
+            return new Inbound(callId, method, uri, idempotencyKey, whole, passing, contentType, requestClass,
+                    tenant, timeLeftUs, workUs, clientRetry, atUs);
         }
     }
 
@@ -151,9 +152,9 @@
     /** The ejected servers, each with the time at which its ejection ends. */
     private final Map<String, Long> resting = new HashMap<>();
     /** The module that takes new requests. */
-    private Deciding newest;
+    private DecisionModule newest;
     /** The newest module and the earlier ones that still have pending requests, oldest first. */
-    private final List<Deciding> modules = new ArrayList<>();
+    private final List<DecisionModule> modules = new ArrayList<>();
     private long seed;
     /** The number of requests that have ended since the newest settings were applied. */
     private long requestsEnded;
@@ -198,14 +199,14 @@
         this.pool = pool;
         this.probes = new HealthProbes(clock, loop, pool, config.loadReports());
         this.seed = config.seed();
-        this.newest = new Deciding();
+        this.newest = new DecisionModule();
         modules.add(newest);
     }
 
     /** A decision module together with the actions that it may call. */
-    final class Deciding implements Actions {
+    final class DecisionModule implements Actions {
         final Balancer balancer = new Logic(settings, seed, this);
-        int requests;
+        int pendingRequests;
 
         @Override
         public void send(String request, String server, long timeoutUs) {
@@ -286,7 +287,7 @@
 
     /** Passes an event to the newest module and to all earlier ones that still have pending requests. */
     private void all(Consumer<Balancer> event) {
-        for (Deciding module : List.copyOf(modules)) {
+        for (DecisionModule module : List.copyOf(modules)) {
             event.accept(module.balancer);
         }
     }
@@ -295,14 +296,14 @@
      * Creates a module with these settings for all new requests; pending requests stay with their modules.
      * The settings must have the same classes and tenants, in the same order, as the current ones.
      */
-    void adopt(Settings next) {
+    void applySettings(Settings newSettings) {
         enter(() -> {
-            settings = next;
+            settings = newSettings;
             requestsEnded = 0;
             requestsFailed = 0;
             seed++;
-            newest = new Deciding();
-            modules.removeIf(module -> module.requests == 0);
+            newest = new DecisionModule();
+            modules.removeIf(module -> module.pendingRequests == 0);
             modules.add(newest);
             List<Server> servers = backends.values().stream().filter(b -> b.listed != null)
                     .map(b -> b.listed).toList();
@@ -315,7 +316,7 @@
     }
 
     /** Returns the servers that are ejected at present. */
-    List<String> resting() {
+    List<String> ejectedServers() {
         long now = clock.nowUs();
         resting.values().removeIf(untilUs -> untilUs <= now);
         return List.copyOf(resting.keySet());
@@ -335,7 +336,7 @@
     }
 
     /** Sets the action to run when the module asks discovery to report changes of the list. */
-    void onWatch(Runnable action) {
+    void onWatchRequested(Runnable action) {
         watch = action;
     }
 
@@ -343,13 +344,13 @@
      * Starts to share the module's verdicts and budget use with other proxies, and to pass theirs to the
      * module.
      */
-    void share(SharedState state) {
+    void shareState(SharedState state) {
         shared = state;
         loop.execute(state::start);
     }
 
     /** Passes the state received from other proxies to the decision module. */
-    final class FromPeers implements SharedState.Module {
+    final class PeerStateListener implements SharedState.Module {
         @Override
         public void verdict(String server, Verdict verdict, long untilMs) {
             SHARED.atDebug().addKeyValue("server", server).addKeyValue("verdict", verdict)
@@ -378,13 +379,13 @@
     /** Receives the results of attempts. */
     private final UpstreamAttempt.Listener attempts = new UpstreamAttempt.Listener() {
         @Override
-        public BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
-                long length) {
-            return Driver.this.answerBegan(attempt, from, type, length);
+        public BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange from,
+                String type, long length) {
+            return Driver.this.streamStarted(attempt, from, type, length);
         }
 
         @Override
-        public long holdUs(UpstreamAttempt attempt) {
+        public long maxBufferingUs(UpstreamAttempt attempt) {
             return settings.classes().get(attempt.request.inbound.requestClass()).aimUs() / HOLD_PART;
         }
 
@@ -413,7 +414,7 @@
     }
 
     /** Returns the requests past their deadlines whose clients still wait; there must never be any. */
-    List<PendingRequest> overdue() {
+    List<PendingRequest> requestsPastDeadline() {
         return requests.overdue();
     }
 
@@ -429,12 +430,12 @@
     }
 
     /** Returns whether the backend was ever listed or in maintenance. */
-    boolean knows(String backend) {
+    boolean isKnown(String backend) {
         return known.contains(backend);
     }
 
     /** Returns the backends in maintenance. */
-    Set<String> out() {
+    Set<String> backendsInMaintenance() {
         return Set.copyOf(out);
     }
 
@@ -488,7 +489,7 @@
                 loop.execute(shared::known);
             }
             if (meters != null) {
-                meters.listed(kind == ListKind.WHOLE, backends.keySet());
+                meters.listReceived(kind == ListKind.WHOLE, backends.keySet());
             }
             retire();
         });
@@ -517,38 +518,38 @@
     }
 
     /** Puts a backend into maintenance or ends its maintenance, at the operator's command. */
-    void maintenance(String server, boolean leave) {
-        if (!(leave ? out.add(server) : out.remove(server))) {
+    void setMaintenance(String server, boolean enabled) {
+        if (!(enabled ? out.add(server) : out.remove(server))) {
             return;
         }
         known.add(server);
         retire();
-        if (leave) {
+        if (enabled) {
             endConnecting(server);
         }
-        enter(() -> all(balancer -> balancer.maintenance(clock.nowUs(), server, leave)));
+        enter(() -> all(balancer -> balancer.maintenance(clock.nowUs(), server, enabled)));
     }
 
     /** Cancels an attempt and reports its outcome to the module in a later task of the event loop. */
     private void callOff(UpstreamAttempt attempt, Outcome outcome) {
-        attempt.abandon();
+        attempt.cancelExchange();
         loop.execute(() -> ended(attempt, Answer.of(outcome)));
     }
 
     /** Tells the pool to keep no connections to backends in maintenance. */
     private void retire() {
-        pool.retire(out.stream().map(backends::get).filter(b -> b != null && b.address != null)
-                .map(b -> b.address).collect(Collectors.toSet()));
+        pool.setUnpooledAddresses(out.stream().map(backends::get)
+                .filter(b -> b != null && b.address != null).map(b -> b.address).collect(Collectors.toSet()));
     }
 
     /** Cancels the attempts and probes for a backend of which no byte has been sent yet. */
     private void endConnecting(String server) {
         List<UpstreamAttempt> connecting = requests.all().stream()
                 .flatMap(pending -> pending.attempts.stream())
-                .filter(attempt -> !attempt.ended && attempt.server.equals(server) && !attempt.begun())
+                .filter(attempt -> !attempt.ended && attempt.server.equals(server) && !attempt.hasStarted())
                 .toList();
         connecting.forEach(attempt -> callOff(attempt, Outcome.NOT_SENT));
-        probes.endConnecting(server);
+        probes.cancelUnsent(server);
     }
 
     private static void down(long toldUs, Backend b, ServerStatus status) {
@@ -566,16 +567,16 @@
     }
 
     /** Accepts a request from a client and passes it to the newest module. */
-    PendingRequest request(Inbound inbound, Client client) {
+    PendingRequest submit(Inbound inbound, Client client) {
         long now = clock.nowUs();
-        long deadlineUs = dueUs(inbound.takenAtUs(), inbound);
+        long deadlineUs = dueUs(inbound.receivedAtUs(), inbound);
         PendingRequest pending = new PendingRequest(Long.toString(++lastId), inbound, client, now,
                 deadlineUs, newest);
         requests.add(pending);
-        pending.module.requests++;
+        pending.module.pendingRequests++;
         if (LOG.isDebugEnabled()) {
             LOG.atDebug().addKeyValue("request", inbound.callId())
-                    .addKeyValue("read_us_ago", now - inbound.takenAtUs())
+                    .addKeyValue("read_us_ago", now - inbound.receivedAtUs())
                     .addKeyValue("left_ms", (deadlineUs - now) / 1000).log("request taken");
         }
         if (inbound.upload() == null) {
@@ -588,7 +589,7 @@
             try {
                 pending.module.balancer.request(clock.nowUs(), new Request(pending.id, inbound.requestClass(),
                         inbound.tenant(), Math.max(0, deadlineUs - clock.nowUs()), inbound.workUs(),
-                        inbound.again(), pending.uploading()));
+                        inbound.clientRetry(), pending.uploading()));
             } catch (RuntimeException e) {
                 fault(pending, e);
             }
@@ -597,26 +598,27 @@
     }
 
     /**
-     * Limits deadlines ahead of a shutdown, in which the process may be killed at any time after {@code
-     * atUs}: requests received at {@code fromUs} or later get a deadline of {@code atUs} at the latest.
+     * Limits deadlines ahead of a shutdown, in which the process may be killed at any time after
+     * {@code maxDeadlineUs}: requests received at {@code fromUs} or later get that time as their deadline
+     * at the latest.
      */
-    void answerBy(long fromUs, long atUs) {
+    void limitDeadlines(long fromUs, long maxDeadlineUs) {
         boundFromUs = fromUs;
-        answerByUs = atUs;
-        lastDueUs = Math.max(lastDueUs, atUs);
+        answerByUs = maxDeadlineUs;
+        lastDueUs = Math.max(lastDueUs, maxDeadlineUs);
     }
 
     /**
      * Returns the latest deadline of all requests received so far. By then each is answered, except for those
      * whose large bodies are still being transferred.
      */
-    long lastDueUs() {
+    long latestDeadlineUs() {
         return lastDueUs;
     }
 
-    /** Returns the deadline of a request whose last byte was received at {@code takenAtUs}. */
-    private long dueUs(long takenAtUs, Inbound inbound) {
-        long dueUs = takenAtUs + inbound.timeLeftUs();
+    /** Returns the deadline of a request whose last byte was received at {@code receivedAtUs}. */
+    private long dueUs(long receivedAtUs, Inbound inbound) {
+        long dueUs = receivedAtUs + inbound.timeLeftUs();
         if (clock.nowUs() >= boundFromUs) {
             dueUs = Math.min(dueUs, answerByUs);
         }
@@ -631,7 +633,7 @@
     }
 
     /** Handles the last byte of an upload: the request's deadline and time-outs count from now on. */
-    void uploaded(PendingRequest pending) {
+    void uploadCompleted(PendingRequest pending) {
         if (pending.answered() || !pending.uploading()) {
             return;
         }
@@ -646,14 +648,14 @@
 
     /** Schedules the time-out of an attempt. */
     private void limit(UpstreamAttempt attempt, long now, long untilUs) {
-        attempt.untilUs = untilUs;
+        attempt.timeoutAtUs = untilUs;
         attempt.timeout = loop.schedule(() -> timedOut(attempt), untilUs - now, TimeUnit.MICROSECONDS);
     }
 
     /** Handles the close of the client's connection. */
     void clientGone(PendingRequest pending) {
         if (pending.answering != null && !pending.answering.ended) {
-            pending.answering.abandon();
+            pending.answering.cancelExchange();
             ended(pending.answering, Answer.of(Outcome.CANCELLED));
         } else if (!pending.answered()) {
             finish(pending, Meters.Result.GONE);
@@ -684,8 +686,8 @@
      *
      * @return the sink for the answer's body; null if the request has been answered already
      */
-    private BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
-            long length) {
+    private BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange from,
+            String type, long length) {
         PendingRequest pending = attempt.request;
         if (attempt.ended || pending.answered()) {
             ended(attempt, Answer.of(Outcome.CANCELLED));
@@ -699,7 +701,7 @@
         long now = clock.nowUs();
         enter(() -> pending.module.balancer.streamStarted(now, pending.id, attempt.number, attempt.server,
                 now - begunAtUs(attempt)));
-        return pending.client.begins(from, type, length, delivery(pending));
+        return pending.client.streamStarted(from, type, length, delivery(pending));
     }
 
     /** Returns when the server could start to process the attempt: when the request's last byte was sent. */
@@ -712,13 +714,13 @@
         if (attempt.ended) {
             return;
         }
-        attempt.end(answer.outcome());
+        attempt.markEnded(answer.outcome());
         PendingRequest pending = attempt.request;
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
         if (meters != null) {
-            meters.attempted(attempt.server, attempt.number, answer.outcome(),
+            meters.attemptEnded(attempt.server, attempt.number, answer.outcome(),
                     Math.max(0, clock.nowUs() - attempt.sentAtUs));
         }
         if (LOG.isDebugEnabled()) {
@@ -781,8 +783,8 @@
             requestsFailed += result == Meters.Result.SERVED ? 0 : 1;
         }
         if (meters != null) {
-            meters.answered(pending.inbound.requestClass(), result,
-                    Math.max(0, clock.nowUs() - pending.inbound.takenAtUs()));
+            meters.requestAnswered(pending.inbound.requestClass(), result,
+                    Math.max(0, clock.nowUs() - pending.inbound.receivedAtUs()));
         }
         if (pending.guard != null) {
             pending.guard.cancel(false);
@@ -807,7 +809,8 @@
     }
 
     private void endIfDone(PendingRequest pending) {
-        if (requests.endIfDone(pending) && --pending.module.requests == 0 && pending.module != newest) {
+        if (requests.endIfDone(pending) && --pending.module.pendingRequests == 0
+                && pending.module != newest) {
             modules.remove(pending.module);
         }
     }
@@ -851,12 +854,12 @@
             return;
         }
         if (pending.uploading()) {
-            attempt.untilUs = Long.MAX_VALUE;
+            attempt.timeoutAtUs = Long.MAX_VALUE;
         } else {
             limit(attempt, now, untilUs);
         }
         try {
-            attempt.exchange = pool.begin(backend.address, () -> message(attempt, backend), attempt);
+            attempt.exchange = pool.startExchange(backend.address, () -> message(attempt, backend), attempt);
         } catch (RuntimeException e) {
             // If rethrown, the exception would interrupt the module in the middle of its event, and the
             // attempt would never end.
@@ -868,9 +871,9 @@
 
     private void timedOut(UpstreamAttempt attempt) {
         if (!attempt.ended) {
-            attempt.abandon();
+            attempt.cancelExchange();
             // While the connection is being established, no byte of the request can have been sent.
-            ended(attempt, Answer.of(attempt.begun() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
+            ended(attempt, Answer.of(attempt.hasStarted() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
         }
     }
 
@@ -882,14 +885,15 @@
     private HttpRequest message(UpstreamAttempt attempt, Backend backend) {
         long now = clock.nowUs();
         Inbound in = attempt.request.inbound;
-        long leftMs = attempt.request.uploading() ? in.timeLeftUs() / 1000 : (attempt.untilUs - now) / 1000;
+        long leftMs = attempt.request.uploading() ? in.timeLeftUs() / 1000
+                : (attempt.timeoutAtUs - now) / 1000;
         RequestClass kind = settings.classes().get(in.requestClass());
-        SendGuard.Verdict verdict = SendGuard.judge(attempt, kind, barred(attempt.server, backend), leftMs,
+        SendGuard.Decision decision = SendGuard.decide(attempt, kind, barred(attempt.server, backend), leftMs,
                 now);
-        if (verdict != SendGuard.Verdict.GO) {
+        if (decision != SendGuard.Decision.SEND) {
             if (LOG.isDebugEnabled()) {
                 LOG.atDebug().addKeyValue("request", in.callId()).addKeyValue("attempt", attempt.number)
-                        .addKeyValue("backend", attempt.server).addKeyValue("verdict", verdict)
+                        .addKeyValue("backend", attempt.server).addKeyValue("verdict", decision)
                         .log("attempt held back");
             }
             return null;
@@ -907,8 +911,8 @@
         if (in.idempotencyKey() != null) {
             headers.set("Idempotency-Key", in.idempotencyKey());
         }
-        if (in.type() != null) {
-            headers.set(HttpHeaderNames.CONTENT_TYPE, in.type());
+        if (in.contentType() != null) {
+            headers.set(HttpHeaderNames.CONTENT_TYPE, in.contentType());
         }
         if (in.upload() != null) {
             in.upload().describe(headers);
@@ -924,13 +928,13 @@
         long now = clock.nowUs();
         String id = pending.inbound.callId();
         Supplier<String> state = () -> pending.state(now);
-        invariants.check(!pending.answered() && pending.client.open(), Rule.ATTEMPT_FOR_WAITING_CLIENT, id,
+        invariants.check(!pending.answered() && pending.client.isOpen(), Rule.ATTEMPT_FOR_WAITING_CLIENT, id,
                 state);
         invariants.check(backend.status == ServerStatus.UP
                 || now <= backend.downSinceUs + settings.rules().drainGraceUs(),
                 Rule.ATTEMPT_WITHIN_GRACE, id, state);
-        invariants.check(SendGuard.repeatsSafely(attempt, kind, now - HELD_UP_US), Rule.REPEATED_SAFELY, id,
-                state);
+        invariants.check(SendGuard.isSafeToRepeat(attempt, kind, now - HELD_UP_US), Rule.REPEATED_SAFELY,
+                id, state);
         invariants.check(pending.uploading() || leftMs * 1000 <= pending.deadlineUs - now + HELD_UP_US,
                 Rule.DEADLINE_PASSED_ON, id, state);
     }
@@ -970,16 +974,16 @@
             return;
         }
         UpstreamAttempt attempt = pending.attempts.get(number);
-        attempt.abandon();
+        attempt.cancelExchange();
         ended(attempt, Answer.of(Outcome.CANCELLED));
     }
 
-    private void probe(String server, Deciding module) {
+    private void probe(String server, DecisionModule module) {
         HealthProbes.Listener told = (asked, outcome, tookUs, report) -> enter(
                 () -> module.balancer.probeResult(clock.nowUs(), asked, outcome, tookUs, report));
         Backend backend = backends.get(server);
         if (backend == null || out.contains(server)) {
-            probes.skip(server, told);
+            probes.reportNotSent(server, told);
         } else {
             probes.send(server, backend.address, () -> barred(server, backend), told);
         }
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -124,7 +124,7 @@
         for (int i = 0; i < settings.tenants().size(); i++) {
             tenants.put(settings.tenants().get(i).name(), i);
         }
-        sockets.onFreed(() -> accept(true));
+        sockets.onRelease(() -> accept(true));
     }
 
     /**
@@ -139,7 +139,7 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 // To the end of what is there, also past a short read: whoever sent it may have left.
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBuffers()
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBufferAllocator()
                         .respectMaybeMoreData(false).maxMessagesPerRead(MOST_READS))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -163,7 +163,7 @@
     private void acceptFailed(SystemError error, boolean persists) {
         onAcceptFailure.accept(error);
         if (persists && error == SystemError.EMFILE) {
-            sockets.freeOne();
+            sockets.evictOne();
         }
     }
 
@@ -319,7 +319,7 @@
         if (request.decoderResult().isFailure() || RequestDecoder.codedOddly(request)) {
             throw new Rejected(HttpResponseStatus.BAD_REQUEST, "broken request");
         }
-        if (HttpUtil.getContentLength(request, 0L) > BackendPool.MOST_LARGE) {
+        if (HttpUtil.getContentLength(request, 0L) > BackendPool.MAX_BODY_BYTES) {
             throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
         }
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
@@ -401,11 +401,11 @@
                 connections--;
                 patience(null);
                 sockets.release();
-                driver.invariants().check(connections >= 0 && heldBytes >= 0 && sockets.consistent(),
+                driver.invariants().check(connections >= 0 && heldBytes >= 0 && sockets.isConsistent(),
                         Rule.COUNTS_NOT_NEGATIVE, "", () -> "connections=" + connections + " held_bytes="
-                                + heldBytes + " sockets=" + sockets.open());
+                                + heldBytes + " sockets=" + sockets.openCount());
             });
-            if (!sockets.accepted()) {
+            if (!sockets.addAccepted()) {
                 // The next connections wait in the listener's queue until one closes.
                 accept(false);
             }
@@ -531,7 +531,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (answering != null && channel.isWritable()) {
-                answering.from.resume();
+                answering.from.resumeReading();
             }
         }
 
@@ -614,7 +614,8 @@
             }
             ByteBuf part = content.content();
             received += part.readableBytes();
-            if (received > BackendPool.MOST_LARGE || rejected != null && received > BackendPool.MOST_BODY) {
+            if (received > BackendPool.MAX_BODY_BYTES
+                    || rejected != null && received > BackendPool.MAX_BUFFERED_BODY_BYTES) {
                 throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             }
             boolean last = content instanceof LastHttpContent;
@@ -630,7 +631,7 @@
             } else if (rejected == null && !isHealth()) {
                 hold(part.readableBytes());
                 body.writeBytes(part);
-                if (body.readableBytes() > BackendPool.MOST_BODY && !last) {
+                if (body.readableBytes() > BackendPool.MAX_BUFFERED_BODY_BYTES && !last) {
                     pass(atUs);
                 }
             }
@@ -660,7 +661,7 @@
         private void pass(long atUs) {
             upload = new Upload(channel, flow, Framing.length(head), body, this::holdNothing);
             body = null;
-            dispatch(asked.with(null, upload, atUs));
+            dispatch(asked.withBody(null, upload, atUs));
             if (upload != null) {
                 upload.regulate();
             }
@@ -684,7 +685,7 @@
             } else {
                 idleOf().remove(this);
                 proper = true;
-                ready = asked.with(all, null, atUs);
+                ready = asked.withBody(all, null, atUs);
                 loop.execute(this::dispatchReady);
             }
         }
@@ -694,7 +695,7 @@
             if (upload == uploaded && channel.isActive()) {
                 upload.complete();
                 if (held != null) {
-                    driver.uploaded(held);
+                    driver.uploadCompleted(held);
                 }
             }
         }
@@ -714,7 +715,7 @@
             idleOf().remove(this);
             proper = true;
             busy = true;
-            PendingRequest taken = driver.request(inbound, new Client(this));
+            PendingRequest taken = driver.submit(inbound, new Client(this));
             held = busy ? taken : null;
         }
 
@@ -896,7 +897,7 @@
             cut(CloseReason.FAILED);
         }
 
-        private BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
+        private BackendPool.AnswerSink begins(BackendPool.Exchange from, String type, long length,
                 Driver.Delivery delivery) {
             answering = new Answering(this, from, type, length, delivery);
             return answering;
@@ -904,7 +905,7 @@
     }
 
     /** A large answer on its way to the client. */
-    private final class Answering implements BackendPool.Sink {
+    private final class Answering implements BackendPool.AnswerSink {
 
         private final Connection connection;
         private final Channel channel;
@@ -956,7 +957,7 @@
         }
 
         @Override
-        public boolean part(ByteBuf content) {
+        public boolean write(ByteBuf content) {
             passed += content.readableBytes();
             channel.write(new DefaultHttpContent(content));
             return channel.isWritable();
@@ -968,7 +969,7 @@
         }
 
         @Override
-        public void end() {
+        public void complete() {
             connection.answering = null;
             connection.held = null;
             if (last) {
@@ -985,7 +986,7 @@
 
         /** The client can tell: it misses the last chunk or the rest of the length, or gets a reset. */
         @Override
-        public void broken() {
+        public void abort() {
             stop(false);
             connection.answering = null;
             if (endsWithConnection) {
@@ -1008,12 +1009,12 @@
     private record Client(Connection connection) implements Driver.Client {
 
         @Override
-        public boolean connected() {
+        public boolean isConnected() {
             return connection.connected();
         }
 
         @Override
-        public boolean open() {
+        public boolean isOpen() {
             return connection.channel.isActive();
         }
 
@@ -1023,7 +1024,7 @@
         }
 
         @Override
-        public BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
+        public BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length,
                 Driver.Delivery delivery) {
             return connection.begins(from, type, length, delivery);
         }
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -22,7 +22,7 @@
 
 /**
  * Sends health probes to backends when the decision module asks for them. The result of each probe is
- * reported once, at the latest when {@link #PROBE_US} has passed. For the proxy's loop only.
+ * reported once, at the latest when {@link #PROBE_TIMEOUT_US} has passed. For the proxy's loop only.
  */
 final class HealthProbes {
 
@@ -31,7 +31,7 @@
      * A probe without an answer after this time has failed. A live backend answers a probe at once, ahead of
      * the requests in its queue.
      */
-    private static final long PROBE_US = 50_000;
+    private static final long PROBE_TIMEOUT_US = 50_000;
 
     /** Receives the result of a probe. */
     interface Listener {
@@ -42,7 +42,7 @@
          * @param tookUs the time since the probe was requested
          * @param report the load reported by the backend; null if it reported none
          */
-        void probed(String server, Outcome outcome, long tookUs, LoadReport report);
+        void probeEnded(String server, Outcome outcome, long tookUs, LoadReport report);
     }
 
     /** A probe that has not ended. */
@@ -79,23 +79,23 @@
     }
 
     /** Reports a probe as not sent, because nothing may be sent to its backend. */
-    void skip(String server, Listener listener) {
-        listener.probed(server, Outcome.NOT_SENT, 0, null);
+    void reportNotSent(String server, Listener listener) {
+        listener.probeEnded(server, Outcome.NOT_SENT, 0, null);
     }
 
     /**
      * Sends a probe.
      *
-     * @param barred called just before the first byte is written, which may be some time later; returns
+     * @param excluded called just before the first byte is written, which may be some time later; returns
      *     whether nothing may be sent to the backend any more
      */
-    void send(String server, InetSocketAddress address, BooleanSupplier barred, Listener listener) {
+    void send(String server, InetSocketAddress address, BooleanSupplier excluded, Listener listener) {
         Probe probe = new Probe(server, listener, clock.nowUs());
         out.add(probe);
-        probe.timeout = loop.schedule(() -> timedOut(probe), PROBE_US, TimeUnit.MICROSECONDS);
+        probe.timeout = loop.schedule(() -> timedOut(probe), PROBE_TIMEOUT_US, TimeUnit.MICROSECONDS);
         try {
-            probe.exchange = pool.begin(address, () -> barred.getAsBoolean() ? null : message(address),
-                    answer -> ended(probe, answer));
+            probe.exchange = pool.startExchange(address,
+                    () -> excluded.getAsBoolean() ? null : message(address), answer -> ended(probe, answer));
         } catch (RuntimeException e) {
             LOG.atError().addKeyValue("backend", server).setCause(e).log("failed to start the probe");
             ended(probe, Answer.of(Outcome.NOT_SENT));
@@ -106,17 +106,17 @@
      * Cancels the probes for a backend of which no byte has been sent yet. Their results are reported in a
      * later task of the event loop.
      */
-    void endConnecting(String server) {
+    void cancelUnsent(String server) {
         List<Probe> connecting = out.stream()
-                .filter(probe -> probe.server.equals(server) && !probe.exchange.begun()).toList();
+                .filter(probe -> probe.server.equals(server) && !probe.exchange.hasStarted()).toList();
         for (Probe probe : connecting) {
-            probe.exchange.abandon();
+            probe.exchange.cancel();
             loop.execute(() -> ended(probe, Answer.of(Outcome.NOT_SENT)));
         }
     }
 
     private void timedOut(Probe probe) {
-        probe.exchange.abandon();
+        probe.exchange.cancel();
         ended(probe, Answer.of(Outcome.TIMEOUT));
     }
 
@@ -132,7 +132,8 @@
             return;
         }
         probe.timeout.cancel(false);
-        probe.listener.probed(probe.server, answer.outcome(), clock.nowUs() - probe.sentAtUs, report(answer));
+        probe.listener.probeEnded(probe.server, answer.outcome(), clock.nowUs() - probe.sentAtUs,
+                report(answer));
     }
 
     /**
@@ -142,6 +143,6 @@
         if (answer.report() != null || !loadReports) {
             return answer.report();
         }
-        return BackendPool.report(BackendPool.text(answer.body()));
+        return BackendPool.parseLoadReport(BackendPool.asciiText(answer.body()));
     }
 }
--- a/src/main/java/larkworks/proxy/Invariants.java
+++ b/src/main/java/larkworks/proxy/Invariants.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns the number of violations of all rules so far. */
-    long count() {
+    long violationCount() {
         return violations.values().stream().mapToLong(n -> n).sum();
     }
 }
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -99,10 +99,10 @@
         shared = config.shared() == null ? null : share();
         if (meters != null) {
             measure();
-            driver.invariants().onViolation(meters::violated);
+            driver.invariants().onViolation(meters::invariantViolated);
             frontend.onAcceptFailure(meters::acceptFailed);
         }
-        sockets.evictors(frontend::evictLingering, frontend::evictStranger, pool::evict, frontend::evict);
+        sockets.setEvictors(frontend::evictLingering, frontend::evictStranger, pool::evict, frontend::evict);
     }
 
     /**
@@ -138,25 +138,25 @@
                 config.settings().rules().coldUs() / 1000, () -> driver.clock().nowUs() / 1000,
                 // Processes given one seed must not all choose the same members to tell.
                 new Random(config.seed() + config.fleet().self() * 0x9E3779B97F4A7C15L), member.peers(),
-                driver.new FromPeers());
+                driver.new PeerStateListener());
         member.carry(state);
-        driver.share(state);
+        driver.shareState(state);
         return state;
     }
 
     /** Figures that are looked at when scraped, each safe to read from another thread. */
     private void measure() {
-        meters.gauge("larkworks.discovery.index", discovery, d -> d.index());
+        meters.registerGauge("larkworks.discovery.index", discovery, d -> d.index());
         for (ListFreshness.State state : ListFreshness.State.values()) {
-            meters.gauge("larkworks.list", discovery, d -> d.freshness() == state ? 1 : 0, "state",
+            meters.registerGauge("larkworks.list", discovery, d -> d.freshness() == state ? 1 : 0, "state",
                     state.name().toLowerCase(Locale.ROOT));
         }
-        meters.gauge("larkworks.sockets.open", sockets, s -> s.open());
-        meters.gauge("larkworks.loop.longest.gap.ms", polls, PollTimes::longestGapMs);
+        meters.registerGauge("larkworks.sockets.open", sockets, s -> s.openCount());
+        meters.registerGauge("larkworks.loop.longest.gap.ms", polls, PollTimes::longestGapMs);
         if (member != null) {
-            meters.gauge("larkworks.minority", member, m -> m.minority() ? 1 : 0);
+            meters.registerGauge("larkworks.minority", member, m -> m.minority() ? 1 : 0);
             for (MemberState state : MemberState.values()) {
-                meters.gauge("larkworks.members", member, m -> m.count(state), "state",
+                meters.registerGauge("larkworks.members", member, m -> m.count(state), "state",
                         FleetMember.name(state));
             }
         }
@@ -305,8 +305,8 @@
 
     /** What is held for clients now, for tests that show it given back; to be asked on the loop. */
     Held held() {
-        return new Held(!driver.isIdle(), driver.overdue().size(), frontend.heldBytes(),
-                frontend.connections(), driver.invariants().count());
+        return new Held(!driver.isIdle(), driver.requestsPastDeadline().size(), frontend.heldBytes(),
+                frontend.connections(), driver.invariants().violationCount());
     }
 
     /** The one loop, for tests that make several things happen in one turn of it. */
@@ -352,7 +352,7 @@
             // What comes over 0.7 s after the signal must not be found unanswered by the earliest SIGKILL. It
             // may have been sent some time before it was heard here, so that the bound holds sooner.
             long killMs = Math.min(LONGEST_MS, longestMs()) + KILL_MS;
-            driver.answerBy(toldUs + (ACCEPT_MS - KILL_MARGIN_MS) * 1000,
+            driver.limitDeadlines(toldUs + (ACCEPT_MS - KILL_MARGIN_MS) * 1000,
                     toldUs + (killMs - KILL_MARGIN_MS) * 1000);
             loop.schedule(() -> {
                 frontend.stopListening();
@@ -374,7 +374,7 @@
     /** All answers have then left: each closes its connection. */
     private void endWhenIdle() {
         frontend.closeUnused();
-        boolean late = driver.clock().nowUs() > driver.lastDueUs() + TRANSFER_MS * 1000;
+        boolean late = driver.clock().nowUs() > driver.latestDeadlineUs() + TRANSFER_MS * 1000;
         if (late) {
             LOG.warn("stopped with requests that have not ended");
             driver.logPending("the process ends");
--- a/src/main/java/larkworks/proxy/Maintenance.java
+++ b/src/main/java/larkworks/proxy/Maintenance.java
@@ -80,12 +80,12 @@
     private void look() {
         try {
             open();
-            sockets.share(presence.accompanied());
+            sockets.setLimitShared(presence.accompanied());
             Set<String> told = kept.read();
-            told.forEach(backend -> driver.maintenance(backend, true));
-            for (String backend : driver.out()) {
+            told.forEach(backend -> driver.setMaintenance(backend, true));
+            for (String backend : driver.backendsInMaintenance()) {
                 if (!told.contains(backend)) {
-                    driver.maintenance(backend, false);
+                    driver.setMaintenance(backend, false);
                 }
             }
             failing = false;
@@ -100,7 +100,7 @@
 
     /** Leaves a backend out, or lets it serve again. */
     Result call(String backend, boolean leave) {
-        if (!driver.knows(backend)) {
+        if (!driver.isKnown(backend)) {
             return Result.UNKNOWN;
         }
         try {
@@ -116,7 +116,7 @@
             LOG.atError().addKeyValue("backend", backend).setCause(e).log("a call can't be kept");
             return Result.NOT_KEPT;
         }
-        driver.maintenance(backend, leave);
+        driver.setMaintenance(backend, leave);
         return Result.DONE;
     }
 }
--- a/src/main/java/larkworks/proxy/Meters.java
+++ b/src/main/java/larkworks/proxy/Meters.java
@@ -80,12 +80,12 @@
     }
 
     /** Records that a request was answered or that its client has gone. */
-    void answered(int requestClass, Result result, long tookUs) {
+    void requestAnswered(int requestClass, Result result, long tookUs) {
         requests.get(requestClass).get(result).record(tookUs, TimeUnit.MICROSECONDS);
     }
 
     /** Records the end of an attempt; {@code number} counts a request's attempts from 0. */
-    void attempted(String backend, int number, Outcome outcome, long tookUs) {
+    void attemptEnded(String backend, int number, Outcome outcome, long tookUs) {
         if (number > 0) {
             retries.increment();
         }
@@ -99,7 +99,7 @@
      * Records that a list was received. Removes the meters of backends that are no longer listed, as their
      * number would otherwise grow without limit.
      */
-    void listed(boolean whole, Set<String> present) {
+    void listReceived(boolean whole, Set<String> present) {
         (whole ? wholeLists : changes).increment();
         attempts.entrySet().removeIf(backend -> {
             boolean gone = !present.contains(backend.getKey());
@@ -116,7 +116,7 @@
     }
 
     /** Records the violation of an invariant. */
-    void violated(Invariants.Rule rule) {
+    void invariantViolated(Invariants.Rule rule) {
         registry.counter("larkworks.invariant.violations", "rule", word(rule)).increment();
     }
 
@@ -129,7 +129,7 @@
      * Registers a gauge whose value is read at each scrape. It is read on another thread, so the value must
      * be safe to read from there.
      */
-    <T> void gauge(String name, T of, ToDoubleFunction<T> figure, String... tags) {
+    <T> void registerGauge(String name, T of, ToDoubleFunction<T> figure, String... tags) {
         Gauge.builder(name, of, figure).tags(tags).strongReference(true).register(registry);
     }
 
--- a/src/main/java/larkworks/proxy/PendingRequest.java
+++ b/src/main/java/larkworks/proxy/PendingRequest.java
@@ -16,7 +16,7 @@
     final Driver.Inbound inbound;
     final Driver.Client client;
     /** The module that decides on it, to its end. */
-    final Driver.Deciding module;
+    final Driver.DecisionModule module;
     final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     /** When it was handed over, which may be some time after it came. */
     final long readUs;
@@ -36,7 +36,7 @@
     private boolean delivered;
 
     PendingRequest(String id, Driver.Inbound inbound, Driver.Client client, long readUs, long deadlineUs,
-            Driver.Deciding module) {
+            Driver.DecisionModule module) {
         this.readUs = readUs;
         this.id = id;
         this.inbound = inbound;
@@ -99,6 +99,6 @@
     }
 
     private long sinceArrivalMs(long atUs) {
-        return (atUs - inbound.takenAtUs()) / 1000;
+        return (atUs - inbound.receivedAtUs()) / 1000;
     }
 }
--- a/src/main/java/larkworks/proxy/SendGuard.java
+++ b/src/main/java/larkworks/proxy/SendGuard.java
@@ -11,44 +11,44 @@
 final class SendGuard {
 
     /** Whether an attempt may be sent, or the reason why not. */
-    enum Verdict { GO, ATTEMPT_ENDED, ANSWERED, SERVER_BARRED, NO_TIME_LEFT, CLIENT_LEFT, MAY_HAVE_RUN }
+    enum Decision { SEND, ATTEMPT_ENDED, ANSWERED, SERVER_BARRED, NO_TIME_LEFT, CLIENT_LEFT, MAY_HAVE_RUN }
 
     private SendGuard() { }
 
     /**
      * Decides whether an attempt may be sent.
      *
-     * @param barred whether no attempt may start at its server any more
+     * @param excluded whether no attempt may start at its server any more
      * @param leftMs the time budget that would be sent to the server, in milliseconds
      */
-    static Verdict judge(UpstreamAttempt attempt, RequestClass kind, boolean barred, long leftMs,
+    static Decision decide(UpstreamAttempt attempt, RequestClass requestClass, boolean excluded, long leftMs,
             long nowUs) {
         if (attempt.ended) {
-            return Verdict.ATTEMPT_ENDED;
+            return Decision.ATTEMPT_ENDED;
         }
         if (attempt.request.answered()) {
-            return Verdict.ANSWERED;
+            return Decision.ANSWERED;
         }
-        if (barred) {
-            return Verdict.SERVER_BARRED;
+        if (excluded) {
+            return Decision.SERVER_BARRED;
         }
         if (leftMs <= 0) {
-            return Verdict.NO_TIME_LEFT;
+            return Decision.NO_TIME_LEFT;
         }
-        if (!repeatsSafely(attempt, kind, nowUs)) {
-            return Verdict.MAY_HAVE_RUN;
+        if (!isSafeToRepeat(attempt, requestClass, nowUs)) {
+            return Decision.MAY_HAVE_RUN;
         }
-        return attempt.request.client.connected() ? Verdict.GO : Verdict.CLIENT_LEFT;
+        return attempt.request.client.isConnected() ? Decision.SEND : Decision.CLIENT_LEFT;
     }
 
     /** Returns whether the request may be sent again, given the outcomes of its earlier attempts. */
-    static boolean repeatsSafely(UpstreamAttempt attempt, RequestClass kind, long nowUs) {
+    static boolean isSafeToRepeat(UpstreamAttempt attempt, RequestClass requestClass, long nowUs) {
         List<UpstreamAttempt> earlier = attempt.request.attempts.subList(0, attempt.number);
-        return switch (kind.effect()) {
+        return switch (requestClass.effect()) {
             case SAFE -> true;
             case UNSAFE -> earlier.stream().noneMatch(UpstreamAttempt::mayHaveRun);
             case KEYED -> earlier.stream().filter(UpstreamAttempt::mayHaveRun)
-                    .allMatch(first -> nowUs - first.sentAtUs < kind.dedupWindowUs());
+                    .allMatch(first -> nowUs - first.sentAtUs < requestClass.dedupWindowUs());
         };
     }
 }
--- a/src/main/java/larkworks/proxy/Sockets.java
+++ b/src/main/java/larkworks/proxy/Sockets.java
@@ -14,7 +14,7 @@
  * Counts the sockets of this process against its descriptor limit and closes connections to stay below it.
  * They are closed in this order: connections that only wait for their clients to close, silent unproven
  * connections, idle connections to backends, idle connections of clients. Connections with a request in
- * flight are kept. Only for the proxy's loop, except {@link #open}.
+ * flight are kept. Only for the proxy's loop, except {@link #openCount}.
  */
 final class Sockets {
 
@@ -57,7 +57,7 @@
     }
 
     /** Sets whether another process of this proxy shares the limit, which leaves half of it to each. */
-    void share(boolean shared) {
+    void setLimitShared(boolean shared) {
         divide(shared ? limit / 2 : limit);
         makeRoom(most + 1);
     }
@@ -66,7 +66,7 @@
      * Returns an allocator for read buffers that grow with the size of recent reads: large enough for large
      * bodies, yet small when many connections are read at once.
      */
-    static AdaptiveRecvByteBufAllocator readBuffers() {
+    static AdaptiveRecvByteBufAllocator readBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(512, 2048, 32 << 10);
     }
 
@@ -74,29 +74,29 @@
      * Sets the functions that close a connection when sockets run short, in the order in which they are
      * tried. Each returns false if it has no connection to close.
      */
-    void evictors(BooleanSupplier... ways) {
-        evictors = List.of(ways);
+    void setEvictors(BooleanSupplier... functions) {
+        evictors = List.of(functions);
     }
 
     /** Sets the action to run whenever a counted socket is released. */
-    void onFreed(Runnable action) {
+    void onRelease(Runnable action) {
         freed = action;
     }
 
     /** Closes connections until fewer than {@code bound} are open or none is left to close. */
     private void makeRoom(int bound) {
-        while (open >= bound && freeOne()) {
+        while (open >= bound && evictOne()) {
             // Each iteration closes one connection, and its close calls release().
         }
     }
 
     /** Closes the most dispensable connection; returns false if none can be closed. */
-    boolean freeOne() {
+    boolean evictOne() {
         return evictors.stream().anyMatch(BooleanSupplier::getAsBoolean);
     }
 
     /** Counts a socket for a new connection to a backend; returns false if none is available. */
-    boolean take() {
+    boolean tryAcquire() {
         makeRoom(mostForBackends);
         if (open >= mostForBackends) {
             return false;
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Opens a connection for which {@link #take} has counted a socket. The socket counts until the connection
-     * has closed.
+     * Opens a connection for which {@link #tryAcquire} has counted a socket. The socket counts until the
+     * connection has closed.
      *
      * @param told called on the loop, never before this method returns, with the result of the connection
      *     attempt; called with null if the system provided no socket
@@ -155,19 +155,19 @@
      * Counts a connection that was accepted from a client, and closes others if there are too many. Returns
      * false if no further connection should be accepted for now.
      */
-    boolean accepted() {
+    boolean addAccepted() {
         open++;
         makeRoom(most);
         return open < most;
     }
 
     /** Returns the number of counted sockets. */
-    int open() {
+    int openCount() {
         return open;
     }
 
     /** Returns whether the count of sockets is consistent, that is, not negative. */
-    boolean consistent() {
+    boolean isConsistent() {
         return open >= 0;
     }
 
--- a/src/main/java/larkworks/proxy/Training.java
+++ b/src/main/java/larkworks/proxy/Training.java
@@ -24,7 +24,7 @@
  */
 public final class Training {
 
-    private static final int LARGE = 4 * BackendPool.MOST_BODY;
+    private static final int LARGE = 4 * BackendPool.MAX_BUFFERED_BODY_BYTES;
     /** In the configuration, the address of the backend. */
     private static final String BACKEND = "127.0.0.1:2";
 
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -194,7 +194,7 @@
         }
         if (complete) {
             finish();
-        } else if (sent > BackendPool.MOST_BODY) {
+        } else if (sent > BackendPool.MAX_BUFFERED_BODY_BYTES) {
             release();
             onSpent.run();
         }
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -12,15 +12,15 @@
     /** Handles the results of attempts. */
     interface Listener {
 
-        /** Called when a large answer starts; see {@link BackendPool.Receiver#began}. */
-        BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
+        /** Called when a large answer starts; see {@link BackendPool.Receiver#streamStarted}. */
+        BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
                 long length);
 
         /**
          * Returns for how long an answer of unknown length is buffered; see {@link
-         * BackendPool.Receiver#holdUs}.
+         * BackendPool.Receiver#maxBufferingUs}.
          */
-        long holdUs(UpstreamAttempt attempt);
+        long maxBufferingUs(UpstreamAttempt attempt);
 
         /** Called when the attempt's exchange has ended. */
         void ended(UpstreamAttempt attempt, Answer answer);
@@ -33,7 +33,7 @@
     final long sentAtUs;
     private final Listener listener;
     /** When the attempt times out; {@link Long#MAX_VALUE} until the request's upload is complete. */
-    long untilUs;
+    long timeoutAtUs;
     /** The exchange with the backend; null until it is started and if it could not be started. */
     BackendPool.Exchange exchange;
     Future<?> timeout;
@@ -50,41 +50,41 @@
     }
 
     /** Returns whether a byte of the request may have been sent to the backend. */
-    boolean begun() {
-        return exchange != null && exchange.begun();
+    boolean hasStarted() {
+        return exchange != null && exchange.hasStarted();
     }
 
     /** Records the end of the attempt and its outcome. */
-    void end(Outcome how) {
+    void markEnded(Outcome result) {
         ended = true;
-        outcome = how;
+        outcome = result;
     }
 
     /** Returns whether the backend may have run the request or may still run it. */
     boolean mayHaveRun() {
-        return begun() && (outcome == null || !outcome.provesNotRun);
+        return hasStarted() && (outcome == null || !outcome.provesNotRun);
     }
 
     /** Cancels the exchange with the backend. The caller must still report the attempt's end. */
-    void abandon() {
+    void cancelExchange() {
         if (exchange != null) {
-            exchange.abandon();
+            exchange.cancel();
         }
     }
 
     /** Returns the attempt's progress or outcome as one word, for the log. */
     String state() {
-        return ended ? String.valueOf(outcome) : begun() ? "sent" : "connecting";
+        return ended ? String.valueOf(outcome) : hasStarted() ? "sent" : "connecting";
     }
 
     @Override
-    public BackendPool.Sink began(BackendPool.Exchange from, String type, long length) {
-        return listener.answerBegan(this, from, type, length);
+    public BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length) {
+        return listener.streamStarted(this, from, type, length);
     }
 
     @Override
-    public long holdUs() {
-        return listener.holdUs(this);
+    public long maxBufferingUs() {
+        return listener.maxBufferingUs(this);
     }
 
     @Override
--- a/src/main/java/larkworks/proxy/Warmup.java
+++ b/src/main/java/larkworks/proxy/Warmup.java
@@ -47,7 +47,7 @@
         if (--left == 0) {
             end();
         } else if (left > 0) {
-            driver.request(new Driver.Inbound("warm-up", HttpMethod.GET, "/health/live", null, new byte[0],
+            driver.submit(new Driver.Inbound("warm-up", HttpMethod.GET, "/health/live", null, new byte[0],
                     null, null, 0, 0, MOST_MS * 1000, 0, false, clock.nowUs()), this);
         }
     }
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public boolean connected() {
+    public boolean isConnected() {
         return true;
     }
 
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
+    public BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length,
             Driver.Delivery delivery) {
         throw new IllegalStateException("the answer of a warm-up is small");
     }
--- a/src/test/java/larkworks/proxy/BackendPoolTest.java
+++ b/src/test/java/larkworks/proxy/BackendPoolTest.java
@@ -47,13 +47,14 @@
 
     private BackendPool pool(Sockets sockets) {
         BackendPool pool = new BackendPool(group.next(), sockets, 5_000_000, 10_000_000);
-        sockets.evictors(pool::evict, () -> false);
+        sockets.setEvictors(pool::evict, () -> false);
         return pool;
     }
 
     private void begin(BackendPool pool, Peer to, FullHttpRequest request) {
         InetSocketAddress address = Config.address(to.address());
-        group.next().execute(() -> pool.begin(address, () -> request, a -> outcomes.add(a.outcome())));
+        group.next().execute(() -> pool.startExchange(address, () -> request,
+                a -> outcomes.add(a.outcome())));
     }
 
     private static FullHttpRequest request() {
@@ -66,7 +67,7 @@
 
     /** Lets the time pass in which connections that just brought an answer are not used again. */
     static void letRest() throws InterruptedException {
-        Thread.sleep(BackendPool.REST_MS + 1);
+        Thread.sleep(BackendPool.REUSE_DELAY_MS + 1);
     }
 
     /** Running out says nothing of the backend: the attempt was not sent, and the next one may be. */
@@ -101,22 +102,22 @@
         });
         BlockingQueue<Boolean> onLoop = new LinkedBlockingQueue<>();
         group.next().execute(() -> {
-            BackendPool.Exchange exchange = pool.begin(Config.address(backend.address()),
+            BackendPool.Exchange exchange = pool.startExchange(Config.address(backend.address()),
                     BackendPoolTest::request, a -> {
                         outcomes.add(a.outcome());
                         onLoop.add(group.next().inEventLoop());
                     });
-            outcomes.add(exchange.begun() ? Outcome.OK : Outcome.CANCELLED);
+            outcomes.add(exchange.hasStarted() ? Outcome.OK : Outcome.CANCELLED);
         });
         assertEquals(Outcome.CANCELLED, outcome(), "nothing is told before the exchange is handed out");
         assertEquals(Outcome.NOT_SENT, outcome());
         assertEquals(true, onLoop.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        assertEquals(0, sockets.open());
+        assertEquals(0, sockets.openCount());
         none.set(false);
         begin(pool, backend, request());
         backend.next().reply(200, "");
         assertEquals(Outcome.OK, outcome());
-        assertEquals(1, sockets.open());
+        assertEquals(1, sockets.openCount());
     }
 
     @Test
@@ -124,7 +125,7 @@
         try (Peer other = new Peer()) {
             Sockets sockets = new Sockets(2, 0);
             BackendPool pool = pool(sockets);
-            sockets.take();
+            sockets.tryAcquire();
             for (int i = 0; i < 2; i++) {
                 begin(pool, backend, request());
                 Peer.Message message = backend.next();
@@ -153,7 +154,7 @@
     @Test
     void aRequestThatCanNotBeWrittenDownLeavesTheConnectionUsable() throws Exception {
         BackendPool pool = pool(new Sockets(16, 0));
-        group.next().execute(() -> pool.begin(Config.address(backend.address()), () -> {
+        group.next().execute(() -> pool.startExchange(Config.address(backend.address()), () -> {
             throw new IllegalArgumentException("as a header with a line break would");
         }, a -> outcomes.add(a.outcome())));
         assertEquals(Outcome.NOT_SENT, outcome());
@@ -220,9 +221,10 @@
         BackendPool pool = pool(new Sockets(16, 0));
         InetSocketAddress address = Config.address(backend.address());
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-        group.next().execute(() -> pool.begin(address, BackendPoolTest::request, first -> {
-            bodies.add(BackendPool.text(first.body()));
-            pool.begin(address, BackendPoolTest::request, next -> bodies.add(BackendPool.text(next.body())));
+        group.next().execute(() -> pool.startExchange(address, BackendPoolTest::request, first -> {
+            bodies.add(BackendPool.asciiText(first.body()));
+            pool.startExchange(address, BackendPoolTest::request,
+                    next -> bodies.add(BackendPool.asciiText(next.body())));
         }));
         return bodies;
     }
@@ -271,7 +273,8 @@
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            pool.begin(address, BackendPoolTest::request, a -> bodies.add(BackendPool.text(a.body())));
+            pool.startExchange(address, BackendPoolTest::request,
+                    a -> bodies.add(BackendPool.asciiText(a.body())));
         });
         backend.next().reply(200, "next");
         assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
@@ -292,9 +295,9 @@
 
     @Test
     void readsLoadReports() {
-        assertEquals(new LoadReport(7, 2, 0.61), BackendPool.report("inflight=7,queue=2,util=0.61"));
-        assertEquals(new LoadReport(-1, 2, -1), BackendPool.report("queue=2,other=9"));
-        assertNull(BackendPool.report("inflight=many"));
-        assertNull(BackendPool.report(null));
+        assertEquals(new LoadReport(7, 2, 0.61), BackendPool.parseLoadReport("inflight=7,queue=2,util=0.61"));
+        assertEquals(new LoadReport(-1, 2, -1), BackendPool.parseLoadReport("queue=2,other=9"));
+        assertNull(BackendPool.parseLoadReport("inflight=many"));
+        assertNull(BackendPool.parseLoadReport(null));
     }
 }
--- a/src/test/java/larkworks/proxy/CrowdTest.java
+++ b/src/test/java/larkworks/proxy/CrowdTest.java
@@ -105,7 +105,7 @@
     void makesDoWithHalfOfTheDescriptorsWhileAnotherProcessLives() {
         Sockets sockets = new Sockets(200, 0);
         List<Integer> idle = new ArrayList<>();
-        sockets.evictors(() -> {
+        sockets.setEvictors(() -> {
             if (idle.isEmpty()) {
                 return false;
             }
@@ -114,14 +114,14 @@
             return true;
         });
         while (idle.size() < 140) {
-            assertTrue(sockets.accepted());
+            assertTrue(sockets.addAccepted());
             idle.add(idle.size());
         }
-        sockets.share(true);
+        sockets.setLimitShared(true);
         assertTrue(idle.size() <= 52, "half of the limit less the reserve: " + idle.size());
-        sockets.share(false);
+        sockets.setLimitShared(false);
         int before = idle.size();
-        assertTrue(sockets.accepted());
+        assertTrue(sockets.addAccepted());
         assertEquals(before, idle.size());
     }
 
--- a/src/test/java/larkworks/proxy/DescriptorReserveTest.java
+++ b/src/test/java/larkworks/proxy/DescriptorReserveTest.java
@@ -65,20 +65,20 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Peer discovery = new Peer()) {
             Sockets sockets = new Sockets(4, 0);
-            sockets.evictors(() -> {
+            sockets.setEvictors(() -> {
                 throw new AssertionError("a connection is closed");
             });
-            assertTrue(sockets.take());
-            int before = sockets.open();
+            assertTrue(sockets.tryAcquire());
+            int before = sockets.openCount();
             Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
                     .handler(new ChannelInboundHandlerAdapter());
             var up = group.next().<Boolean>newPromise();
             Channel channel = sockets.connectReserved(bootstrap, group.next(),
                     Config.address(discovery.address()), connected -> up.setSuccess(connected.isSuccess()));
             assertTrue(up.get(Peer.LIMIT_S, TimeUnit.SECONDS));
-            assertEquals(before, sockets.open(), "counted apart");
+            assertEquals(before, sockets.openCount(), "counted apart");
             channel.close().sync();
-            assertEquals(before, sockets.open(), "nothing is given back that was not taken");
+            assertEquals(before, sockets.openCount(), "nothing is given back that was not taken");
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -338,7 +338,7 @@
         server.head();
         server.send("HTTP/1.1 200 OK\r\n\r\n").send(body, 0, came);
         // A large one is being passed on by then; a small one is held, unless the machine is slow.
-        String head = came > BackendPool.MOST_BODY ? client.head() : "";
+        String head = came > BackendPool.MAX_BUFFERED_BODY_BYTES ? client.head() : "";
         bench.settle();
         server.socket.setSoLinger(true, 0);
         server.socket.close();
--- a/src/test/java/larkworks/proxy/MetricsTest.java
+++ b/src/test/java/larkworks/proxy/MetricsTest.java
@@ -65,7 +65,7 @@
         CountDownLatch goOn = new CountDownLatch(1);
         try (Meters meters = new Meters(List.of(new RequestClass("look", 1, 1, 1, 0, Effect.SAFE,
                 DedupGroup.ALL, 0)))) {
-            meters.gauge("slow", goOn, latch -> {
+            meters.registerGauge("slow", goOn, latch -> {
                 rendering.countDown();
                 try {
                     latch.await();
@@ -77,7 +77,7 @@
             CompletableFuture<String> text = new CompletableFuture<>();
             meters.scrape(text::complete);
             rendering.await();
-            meters.answered(0, Meters.Result.SERVED, 1_000);
+            meters.requestAnswered(0, Meters.Result.SERVED, 1_000);
             assertFalse(text.isDone(), "recorded while it is rendered");
             goOn.countDown();
             assertTrue(text.get(30, TimeUnit.SECONDS).contains("slow 7.0"));
--- a/src/test/java/larkworks/proxy/PendingRequestsTest.java
+++ b/src/test/java/larkworks/proxy/PendingRequestsTest.java
@@ -39,7 +39,7 @@
         }
 
         @Override
-        public boolean connected() {
+        public boolean isConnected() {
             return true;
         }
 
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
+        public BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length,
                 Driver.Delivery delivery) {
             throw new AssertionError("no answer here is large");
         }
@@ -84,7 +84,7 @@
         Config config = Config.read(file.toString(), Map.of(), Map.of());
         sockets = new Sockets(64, 0);
         BackendPool pool = new BackendPool(loop, sockets, config.connectTimeoutUs(), config.keepAliveUs());
-        sockets.evictors(pool::evict);
+        sockets.setEvictors(pool::evict);
         driver = new Driver(config, clock, loop, pool);
     }
 
@@ -109,7 +109,7 @@
     }
 
     private PendingRequest take(long timeLeftUs) throws Exception {
-        return onLoop(() -> driver.request(new Driver.Inbound("r1", HttpMethod.GET, "/look", null,
+        return onLoop(() -> driver.submit(new Driver.Inbound("r1", HttpMethod.GET, "/look", null,
                 new byte[0], null, null, 0, 0, timeLeftUs, 0, false, clock.nowUs()), answers));
     }
 
@@ -147,7 +147,7 @@
         });
         assertEquals(1, onLoop(answers.given::size));
         assertTrue(onLoop(driver::isIdle), "the attempt that never began holds the request");
-        assertEquals(0, onLoop(sockets::open), "a socket that was never opened is counted");
+        assertEquals(0, onLoop(sockets::openCount), "a socket that was never opened is counted");
     }
 
     @Test
@@ -170,7 +170,7 @@
         PendingRequest pending = take(300_000);
         bench.backends.get(0).next();
         awaitAnswer();
-        assertTrue(onLoop(() -> driver.overdue().isEmpty()));
+        assertTrue(onLoop(() -> driver.requestsPastDeadline().isEmpty()));
         assertEquals(List.of("failed"), onLoop(() -> List.copyOf(answers.given)));
         assertTrue(onLoop(pending::answered));
     }
--- a/src/test/java/larkworks/proxy/PlatformBench.java
+++ b/src/test/java/larkworks/proxy/PlatformBench.java
@@ -68,7 +68,7 @@
 
     @Benchmark
     public void timers() {
-        meters.answered(0, Meters.Result.SERVED, 12_345);
-        meters.attempted("s-5be2a07c", 0, Outcome.OK, 11_111);
+        meters.requestAnswered(0, Meters.Result.SERVED, 12_345);
+        meters.attemptEnded("s-5be2a07c", 0, Outcome.OK, 11_111);
     }
 }
