--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -57,7 +57,7 @@
      * An idle connection is closed this long before the backend's keep-alive time-out, so that the backend
      * doesn't close it while a request is being sent.
      */
-    private static final long IDLE_MARGIN_US = 1_000_000;
+    private static final long IDLE_TIMEOUT_MARGIN_US = 1_000_000;
 
     /**
      * A connection is not reused for this long after an answer. A faulty backend may send a second answer
@@ -66,20 +66,20 @@
      */
     static final long REUSE_DELAY_MS = 20;
     /** Retries of a connection attempt that failed because this machine had no descriptor, port or buffer. */
-    private static final int MOST_LOCAL_FAILURES = 4;
+    private static final int MAX_LOCAL_RETRIES = 4;
     /** The delay before the first retry of a connection attempt; doubled before each further retry. */
-    private static final long FIRST_LOCAL_PAUSE_MS = 1;
+    private static final long FIRST_LOCAL_RETRY_DELAY_MS = 1;
 
     private final Bootstrap bootstrap;
     private final EventLoop loop;
     private final Sockets sockets;
-    private final long idleUs;
+    private final long idleTimeoutUs;
     /** The idle connections to each backend, the most recently used last. */
-    private final Map<InetSocketAddress, ArrayDeque<Connection>> idle = new HashMap<>();
+    private final Map<InetSocketAddress, ArrayDeque<Connection>> idleByAddress = new HashMap<>();
     /** All idle connections, the longest idle first. */
-    private final Set<Connection> idleOrder = new LinkedHashSet<>();
+    private final Set<Connection> idleOldestFirst = new LinkedHashSet<>();
     /** Backends to which no idle connections are kept. */
-    private Set<InetSocketAddress> retired = Set.of();
+    private Set<InetSocketAddress> unpooledAddresses = Set.of();
 
     BackendPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long keepAliveUs) {
         this(loop, sockets, connectTimeoutUs, keepAliveUs, TcpChannel::new);
@@ -90,7 +90,7 @@
             ChannelFactory<NioSocketChannel> channels) {
         this.loop = loop;
         this.sockets = sockets;
-        this.idleUs = Math.max(keepAliveUs / 2, keepAliveUs - IDLE_MARGIN_US);
+        this.idleTimeoutUs = Math.max(keepAliveUs / 2, keepAliveUs - IDLE_TIMEOUT_MARGIN_US);
         this.bootstrap = new Bootstrap().group(loop).channelFactory(channels)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBufferAllocator())
@@ -124,17 +124,17 @@
 
     private void connect(InetSocketAddress address, Exchange exchange) {
         Connection connection = new Connection(address);
-        Bootstrap own = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
+        Bootstrap connectionBootstrap = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
             @Override
             protected void initChannel(SocketChannel channel) {
                 channel.pipeline().addLast(new HttpRequestEncoder(), new ResponseDecoder(), connection);
             }
         });
-        connection.channel = sockets.connect(own, loop, address, connected -> {
+        connection.channel = sockets.connect(connectionBootstrap, loop, address, connected -> {
             if (connected != null && connected.isSuccess()) {
                 exchange.write(connection);
             } else if (connected == null || SystemError.of(connected.cause()).isLocal()) {
-                notConnectedHere(address, exchange);
+                retryAfterLocalFailure(address, exchange);
             } else {
                 exchange.end(Answer.of(Outcome.CONNECT_FAILED));
             }
@@ -147,12 +147,12 @@
      * is no failure of the backend. A retry uses an idle connection if there is one by then. Retries are
      * limited, so that the event loop doesn't spin while the resource remains unavailable.
      */
-    private void notConnectedHere(InetSocketAddress address, Exchange exchange) {
+    private void retryAfterLocalFailure(InetSocketAddress address, Exchange exchange) {
         exchange.connection = null;
         if (exchange.done) {
             return;
         }
-        if (exchange.localFailures == MOST_LOCAL_FAILURES) {
+        if (exchange.localFailures == MAX_LOCAL_RETRIES) {
             exchange.end(Answer.of(Outcome.NOT_SENT));
             return;
         }
@@ -160,7 +160,7 @@
             if (!exchange.done) {
                 startExchange(address, exchange);
             }
-        }, FIRST_LOCAL_PAUSE_MS << exchange.localFailures++, TimeUnit.MILLISECONDS);
+        }, FIRST_LOCAL_RETRY_DELAY_MS << exchange.localFailures++, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -169,24 +169,24 @@
      * needed expire.
      */
     private Connection takeIdle(InetSocketAddress address) {
-        ArrayDeque<Connection> free = idle.get(address);
-        if (free == null) {
+        ArrayDeque<Connection> idleConnections = idleByAddress.get(address);
+        if (idleConnections == null) {
             return null;
         }
-        long now = System.nanoTime();
-        var newest = free.descendingIterator();
-        while (newest.hasNext()) {
-            Connection connection = newest.next();
-            if (now - connection.restsUntil < 0) {
+        long nowNs = System.nanoTime();
+        var newestFirst = idleConnections.descendingIterator();
+        while (newestFirst.hasNext()) {
+            Connection connection = newestFirst.next();
+            if (nowNs - connection.reusableFromNs < 0) {
                 continue;
             }
-            newest.remove();
-            idleOrder.remove(connection);
-            if (free.isEmpty()) {
-                idle.remove(address);
+            newestFirst.remove();
+            idleOldestFirst.remove(connection);
+            if (idleConnections.isEmpty()) {
+                idleByAddress.remove(address);
             }
             connection.readNow();
-            if (connection.channel.isActive() && now - connection.idleSince < idleUs * 1000) {
+            if (connection.channel.isActive() && nowNs - connection.idleSinceNs < idleTimeoutUs * 1000) {
                 connection.expiry.cancel(false);
                 return connection;
             }
@@ -198,28 +198,28 @@
     /**
      * Returns a connection to the pool after an exchange, or closes it if its backend's are not to be kept.
      */
-    private void keep(Connection connection) {
+    private void release(Connection connection) {
         connection.current = null;
         if (!connection.channel.isActive()) {
             return;
         }
-        if (retired.contains(connection.address)) {
+        if (unpooledAddresses.contains(connection.address)) {
             connection.channel.close();
             return;
         }
-        connection.idleSince = System.nanoTime();
-        connection.expiry = loop.schedule(() -> drop(connection), idleUs, TimeUnit.MICROSECONDS);
-        idle.computeIfAbsent(connection.address, a -> new ArrayDeque<>()).addLast(connection);
-        idleOrder.add(connection);
+        connection.idleSinceNs = System.nanoTime();
+        connection.expiry = loop.schedule(() -> closeIdle(connection), idleTimeoutUs, TimeUnit.MICROSECONDS);
+        idleByAddress.computeIfAbsent(connection.address, a -> new ArrayDeque<>()).addLast(connection);
+        idleOldestFirst.add(connection);
     }
 
     /** Closes a connection and removes it from the idle ones. */
-    private void drop(Connection connection) {
-        ArrayDeque<Connection> free = idle.get(connection.address);
-        if (free != null && free.remove(connection) && free.isEmpty()) {
-            idle.remove(connection.address);
+    private void closeIdle(Connection connection) {
+        ArrayDeque<Connection> idleConnections = idleByAddress.get(connection.address);
+        if (idleConnections != null && idleConnections.remove(connection) && idleConnections.isEmpty()) {
+            idleByAddress.remove(connection.address);
         }
-        idleOrder.remove(connection);
+        idleOldestFirst.remove(connection);
         connection.channel.close();
     }
 
@@ -228,21 +228,21 @@
      * them; connections in use are closed when their exchange ends.
      */
     void setUnpooledAddresses(Set<InetSocketAddress> addresses) {
-        retired = addresses;
+        unpooledAddresses = addresses;
         for (InetSocketAddress address : addresses) {
-            ArrayDeque<Connection> free = idle.get(address);
-            while (free != null && !free.isEmpty()) {
-                drop(free.getLast());
+            ArrayDeque<Connection> idleConnections = idleByAddress.get(address);
+            while (idleConnections != null && !idleConnections.isEmpty()) {
+                closeIdle(idleConnections.getLast());
             }
         }
     }
 
     /** Closes the connection that has been idle for longest; returns false if no connection is idle. */
     boolean evict() {
-        if (idleOrder.isEmpty()) {
+        if (idleOldestFirst.isEmpty()) {
             return false;
         }
-        drop(idleOrder.iterator().next());
+        closeIdle(idleOldestFirst.iterator().next());
         return true;
     }
 
@@ -256,16 +256,16 @@
         }
         double[] values = {-1, -1, -1};
         for (String pair : text.split(",")) {
-            int eq = pair.indexOf('=');
-            int at = eq < 0 ? -1 : switch (pair.substring(0, eq).strip()) {
+            int separator = pair.indexOf('=');
+            int valueIndex = separator < 0 ? -1 : switch (pair.substring(0, separator).strip()) {
                 case "inflight" -> 0;
                 case "queue" -> 1;
                 case "util" -> 2;
                 default -> -1;
             };
-            if (at >= 0) {
+            if (valueIndex >= 0) {
                 try {
-                    values[at] = Double.parseDouble(pair.substring(eq + 1).strip());
+                    values[valueIndex] = Double.parseDouble(pair.substring(separator + 1).strip());
                 } catch (NumberFormatException e) {
                     return null;
                 }
@@ -284,7 +284,7 @@
          * @param length the length of the body in bytes; negative if the backend did not declare it
          * @return the sink for the body; null if the answer is not needed any more
          */
-        default AnswerSink streamStarted(Exchange exchange, String type, long length) {
+        default AnswerSink streamStarted(Exchange exchange, String contentType, long length) {
             return null;
         }
 
@@ -321,19 +321,19 @@
 
     /** A request to a backend and the answer to it. */
     final class Exchange {
-        private final Supplier<HttpRequest> request;
+        private final Supplier<HttpRequest> requestSupplier;
         private final Receiver receiver;
         private Connection connection;
         private int localFailures;
         private Upload upload;
         /** Whether the request has been handed to a connection for writing. */
-        private boolean begun;
+        private boolean started;
         /** Whether the request's last byte has been written. */
-        private boolean written;
+        private boolean fullyWritten;
         private boolean done;
 
-        private Exchange(Supplier<HttpRequest> request, Receiver receiver) {
-            this.request = request;
+        private Exchange(Supplier<HttpRequest> requestSupplier, Receiver receiver) {
+            this.requestSupplier = requestSupplier;
             this.receiver = receiver;
         }
 
@@ -343,14 +343,14 @@
                 done = true;
                 if (connection != null) {
                     connection.channel.close();
-                    detach();
+                    detachUpload();
                 }
             }
         }
 
         /** Returns whether a byte of the request may have been sent. */
         boolean hasStarted() {
-            return begun;
+            return started;
         }
 
         /** Resumes reading of the answer; called when its sink can take more. */
@@ -363,47 +363,48 @@
         /**
          * Writes the request on a connection, or returns the connection to the pool if nothing must be sent.
          */
-        private void write(Connection free) {
+        private void write(Connection target) {
             HttpRequest message = null;
             try {
-                message = done ? null : request.get();
+                message = done ? null : requestSupplier.get();
             } catch (RuntimeException e) {
                 // A request that can't be encoded must not cost the connection, which was only just
                 // established.
-                LOG.atError().addKeyValue("backend", free.address).setCause(e)
+                LOG.atError().addKeyValue("backend", target.address).setCause(e)
                         .log("failed to build the request, so it is not sent");
             }
             if (message == null) {
-                keep(free);
+                release(target);
                 end(Answer.of(Outcome.NOT_SENT));
                 return;
             }
-            connection = free;
-            free.current = this;
-            begun = true;
+            connection = target;
+            target.current = this;
+            started = true;
             if (message instanceof Upload.Head head) {
                 upload = head.body();
-                free.channel.write(head);
-                upload.attach(free.channel, sent -> written(free, sent.isSuccess()));
+                target.channel.write(head);
+                upload.attach(target.channel, sent -> writeEnded(target, sent.isSuccess()));
             } else {
-                free.channel.writeAndFlush(message).addListener(sent -> written(free, sent.isSuccess()));
+                target.channel.writeAndFlush(message)
+                        .addListener(sent -> writeEnded(target, sent.isSuccess()));
             }
         }
 
-        private void written(Connection used, boolean success) {
-            written = success;
-            if (!written) {
+        private void writeEnded(Connection used, boolean success) {
+            fullyWritten = success;
+            if (!fullyWritten) {
                 // Reported before the close of the connection is processed, which would count as the regular
                 // end of an answer without a declared length.
                 used.channel.close();
                 if (!done) {
-                    used.lost();
+                    used.connectionLost();
                 }
             }
         }
 
         /** Stops an upload from writing to this exchange's connection. */
-        private void detach() {
+        private void detachUpload() {
             if (upload != null) {
                 upload.detach(connection.channel);
             }
@@ -413,15 +414,15 @@
          * Ends the exchange after the connection was lost. A backend does not start to process a request
          * before it has received its last byte, so until that is written the request can't have run.
          */
-        private void lost() {
-            end(Answer.of(written ? Outcome.RESET : Outcome.CONNECT_FAILED));
+        private void connectionLost() {
+            end(Answer.of(fullyWritten ? Outcome.RESET : Outcome.CONNECT_FAILED));
         }
 
-        private void answered(Answer answer, boolean reusable) {
+        private void answerReceived(Answer answer, boolean reusable) {
             Connection used = connection;
-            if (reusable && written) {
-                used.restsUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REUSE_DELAY_MS);
-                keep(used);
+            if (reusable && fullyWritten) {
+                used.reusableFromNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REUSE_DELAY_MS);
+                release(used);
             } else {
                 used.current = null;
                 used.channel.close();
@@ -432,57 +433,57 @@
         private void end(Answer answer) {
             if (!done) {
                 done = true;
-                detach();
+                detachUpload();
                 receiver.ended(answer);
             }
         }
     }
 
     /** An answer that is being received. */
-    private static final class Incoming {
+    private static final class IncomingAnswer {
         final HttpResponse head;
         /** The declared length of the body in bytes; negative if not declared. */
         final long length;
         /** The body received so far; empty once the answer has a sink. */
-        ByteBuf held = Unpooled.buffer(256);
+        ByteBuf buffered = Unpooled.buffer(256);
         /** The number of bytes received of a body that is discarded because the status is not 200. */
-        long passed;
+        long discardedBytes;
         AnswerSink sink;
-        Future<?> hold;
+        Future<?> bufferingTimer;
 
-        Incoming(HttpResponse head) {
+        IncomingAnswer(HttpResponse head) {
             this.head = head;
             this.length = Framing.length(head);
         }
 
-        boolean serves() {
+        boolean isServed() {
             return head.status().code() == 200;
         }
 
-        String type() {
+        String contentType() {
             return head.headers().get(HttpHeaderNames.CONTENT_TYPE);
         }
 
         Answer answer() {
             HttpResponseStatus status = head.status();
             LoadReport load = parseLoadReport(head.headers().get("X-Load-Report"));
-            if (serves()) {
-                return new Answer(Outcome.OK, sink == null ? ByteBufUtil.getBytes(held) : null, type(), load,
-                        false);
+            if (isServed()) {
+                return new Answer(Outcome.OK, sink == null ? ByteBufUtil.getBytes(buffered) : null,
+                        contentType(), load, false);
             }
             // Only this header proves that the request never ran. With any other answer it may have taken
             // effect.
-            boolean turnedAway = (status.code() == 503 || status.code() == 504)
+            boolean rejected = (status.code() == 503 || status.code() == 504)
                     && "1".equals(head.headers().get("X-Rejected"));
-            return new Answer(turnedAway ? Outcome.FULL : Outcome.ERROR, null, null, load,
+            return new Answer(rejected ? Outcome.FULL : Outcome.ERROR, null, null, load,
                     status.equals(HttpResponseStatus.BAD_REQUEST));
         }
 
         /** Releases the buffered body and cancels the timer of the buffering. */
         void release() {
-            held.release();
-            if (hold != null) {
-                hold.cancel(false);
+            buffered.release();
+            if (bufferingTimer != null) {
+                bufferingTimer.cancel(false);
             }
         }
     }
@@ -493,15 +494,15 @@
         private Channel channel;
         private Exchange current;
         /** The answer to the current exchange while it is being received; else null. */
-        private Incoming incoming;
+        private IncomingAnswer incoming;
         /** True from the head of an interim (1xx) answer to its end. */
-        private boolean interim;
+        private boolean inInterimAnswer;
         /** The complete answer to the current exchange, until the current read is complete; else null. */
         private Answer answer;
         /** Whether the connection can carry another exchange after the current one. */
         private boolean reusable;
-        private long idleSince;
-        private long restsUntil = System.nanoTime();
+        private long idleSinceNs;
+        private long reusableFromNs = System.nanoTime();
         private Future<?> expiry;
 
         private Connection(InetSocketAddress address) {
@@ -525,10 +526,10 @@
                 return;
             }
             if (object instanceof HttpResponse head) {
-                begin(head);
+                handleHead(head);
             }
             if (object instanceof HttpContent content) {
-                part(content);
+                handleContent(content);
             }
         }
 
@@ -542,7 +543,7 @@
         }
 
         /** Handles the head of an answer. */
-        private void begin(HttpResponse head) {
+        private void handleHead(HttpResponse head) {
             if (current == null || answer != null || incoming != null
                     || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                     || Framing.codedOddly(head)) {
@@ -551,59 +552,59 @@
                 reject();
                 return;
             }
-            interim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (interim) {
+            inInterimAnswer = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+            if (inInterimAnswer) {
                 return;
             }
-            Incoming begun = new Incoming(head);
-            if (begun.serves() && begun.length > MAX_BODY_BYTES) {
-                begun.release();
+            IncomingAnswer started = new IncomingAnswer(head);
+            if (started.isServed() && started.length > MAX_BODY_BYTES) {
+                started.release();
                 reject();
                 return;
             }
-            incoming = begun;
+            incoming = started;
             reusable = HttpUtil.isKeepAlive(head);
-            if (incoming.serves() && incoming.length > MAX_BUFFERED_BODY_BYTES) {
-                pass();
+            if (incoming.isServed() && incoming.length > MAX_BUFFERED_BODY_BYTES) {
+                startForwarding();
             }
         }
 
         /** Handles a part of an answer's body. */
-        private void part(HttpContent content) {
-            if (interim || incoming == null) {
-                interim &= !(content instanceof LastHttpContent);
+        private void handleContent(HttpContent content) {
+            if (inInterimAnswer || incoming == null) {
+                inInterimAnswer &= !(content instanceof LastHttpContent);
                 return;
             }
             int size = content.content().readableBytes();
-            if (!incoming.serves()) {
-                incoming.passed += size;
-                if (incoming.passed > MAX_BUFFERED_BODY_BYTES) {
+            if (!incoming.isServed()) {
+                incoming.discardedBytes += size;
+                if (incoming.discardedBytes > MAX_BUFFERED_BODY_BYTES) {
                     // Only the head of such an answer is needed: closing is cheaper than reading a large
                     // body.
                     reusable = false;
-                    complete();
+                    completeAnswer();
                     channel.close();
                     return;
                 }
             } else if (incoming.sink != null) {
-                send(content.content().retain());
+                forward(content.content().retain());
             } else if (size > 0) {
-                incoming.held.writeBytes(content.content());
-                if (incoming.held.readableBytes() > MAX_BUFFERED_BODY_BYTES) {
-                    pass();
-                } else if (incoming.length < 0 && incoming.hold == null
+                incoming.buffered.writeBytes(content.content());
+                if (incoming.buffered.readableBytes() > MAX_BUFFERED_BODY_BYTES) {
+                    startForwarding();
+                } else if (incoming.length < 0 && incoming.bufferingTimer == null
                         && current.receiver.maxBufferingUs() >= 0) {
-                    incoming.hold = loop.schedule(this::passOn, current.receiver.maxBufferingUs(),
-                            TimeUnit.MICROSECONDS);
+                    incoming.bufferingTimer = loop.schedule(this::forwardAfterBuffering,
+                            current.receiver.maxBufferingUs(), TimeUnit.MICROSECONDS);
                 }
             }
             if (content instanceof LastHttpContent && incoming != null) {
-                complete();
+                completeAnswer();
             }
         }
 
         /** Handles the end of an answer's body. */
-        private void complete() {
+        private void completeAnswer() {
             answer = incoming.answer();
             if (incoming.sink != null) {
                 incoming.sink.complete();
@@ -613,9 +614,9 @@
         }
 
         /** Starts to forward an answer of unknown length whose buffering time is over. */
-        private void passOn() {
+        private void forwardAfterBuffering() {
             if (incoming != null && incoming.sink == null && current != null) {
-                pass();
+                startForwarding();
                 if (incoming != null) {
                     incoming.sink.flush();
                 }
@@ -625,26 +626,26 @@
         /**
          * Passes the buffered part of the answer to the receiver's sink; the rest follows as it is received.
          */
-        private void pass() {
-            incoming.sink = current.receiver.streamStarted(current, incoming.type(), incoming.length);
+        private void startForwarding() {
+            incoming.sink = current.receiver.streamStarted(current, incoming.contentType(), incoming.length);
             if (incoming.sink == null) {
                 current.cancel();
-                forget();
+                discardIncoming();
                 return;
             }
-            ByteBuf first = incoming.held;
-            incoming.held = Unpooled.EMPTY_BUFFER;
-            send(first);
+            ByteBuf first = incoming.buffered;
+            incoming.buffered = Unpooled.EMPTY_BUFFER;
+            forward(first);
         }
 
-        private void send(ByteBuf content) {
+        private void forward(ByteBuf content) {
             if (!incoming.sink.write(content)) {
                 channel.config().setAutoRead(false);
             }
         }
 
         /** Discards the answer that is being received. */
-        private void forget() {
+        private void discardIncoming() {
             if (incoming != null) {
                 incoming.release();
                 incoming = null;
@@ -659,10 +660,10 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             if (answer != null) {
-                Answer told = answer;
+                Answer completed = answer;
                 answer = null;
                 channel.config().setAutoRead(true);
-                current.answered(told, reusable);
+                current.answerReceived(completed, reusable);
             } else if (incoming != null && incoming.sink != null) {
                 incoming.sink.flush();
             }
@@ -679,23 +680,23 @@
         public void channelInactive(ChannelHandlerContext context) {
             channelReadComplete(context);
             if (current != null) {
-                lost();
+                connectionLost();
             } else {
-                drop(this);
+                closeIdle(this);
             }
-            forget();
+            discardIncoming();
         }
 
         /**
          * Ends the current exchange after the connection was lost, and aborts an answer that is being
          * forwarded.
          */
-        private void lost() {
+        private void connectionLost() {
             if (incoming != null && incoming.sink != null && !current.done) {
                 incoming.sink.abort();
             }
-            forget();
-            current.lost();
+            discardIncoming();
+            current.connectionLost();
         }
 
         @Override
@@ -703,7 +704,7 @@
             if (current != null && answer == null) {
                 // A body without a declared length ends when the connection is closed. After an error it is
                 // incomplete instead, so the loss is reported before the close.
-                lost();
+                connectionLost();
             }
             context.close();
         }
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -49,22 +49,22 @@
     private static final Logger SHARED = LoggerFactory.getLogger("shared");
     private static final Logger DECISIONS = LoggerFactory.getLogger("decisions");
     /** A request that still has no answer this long before its deadline is answered as failed. */
-    private static final long GUARD_US = 20_000;
+    private static final long DEADLINE_MARGIN_US = 20_000;
     /** An answer later than this after its deadline violates {@link Rule#ANSWERED_IN_TIME}. */
     private static final long ANSWER_SLACK_US = 500_000;
     /** The process may be paused for up to this long between reading its clock and writing to a socket. */
-    private static final long HELD_UP_US = 150_000;
+    private static final long MAX_PROCESS_PAUSE_US = 150_000;
     /**
      * No attempt starts in this last part of a drain's grace period, because the proxy may read the notice of
      * the drain later than the server counts the period from.
      */
-    private static final long GRACE_MARGIN_US = 100_000;
+    private static final long DRAIN_GRACE_MARGIN_US = 100_000;
 
     /**
      * An answer of unknown length is buffered for its class's aim divided by this number, in case it is small
      * enough to be sent as a whole.
      */
-    private static final int HOLD_PART = 10;
+    private static final int BUFFERING_AIM_DIVISOR = 10;
 
     /**
      * Notified exactly once for each answer: when its last byte has been written to the client's connection,
@@ -91,7 +91,7 @@
             return true;
         }
 
-        void served(byte[] body, String type, Delivery delivery);
+        void served(byte[] body, String contentType, Delivery delivery);
 
         /**
          * Starts a large answer whose body follows in parts.
@@ -99,7 +99,7 @@
          * @param length the length of the body in bytes; negative if the backend did not declare it
          * @return the sink that takes the body
          */
-        BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length,
+        BackendPool.AnswerSink streamStarted(BackendPool.Exchange exchange, String contentType, long length,
                 Delivery delivery);
 
         void refused(long retryAfterUs, Delivery delivery);
@@ -126,9 +126,9 @@
         /**
          * Returns the same request with its body: complete, or as an upload that is forwarded from now on.
          */
-        Inbound withBody(byte[] whole, Upload passing, long atUs) {
-            return new Inbound(callId, method, uri, idempotencyKey, whole, passing, contentType, requestClass,
-                    tenant, timeLeftUs, workUs, clientRetry, atUs);
+        Inbound withBody(byte[] completeBody, Upload forwardedUpload, long bodyReceivedAtUs) {
+            return new Inbound(callId, method, uri, idempotencyKey, completeBody, forwardedUpload,
+                    contentType, requestClass, tenant, timeLeftUs, workUs, clientRetry, bodyReceivedAtUs);
         }
     }
 
@@ -137,9 +137,9 @@
         InetSocketAddress address;
         ServerStatus status;
         /** The entry from the most recent list that contained the backend. */
-        Listing.Entry told;
+        Listing.Entry lastEntry;
         /** The server as passed to the modules, kept for later modules; null unless it is listed as up. */
-        Server listed;
+        Server upServer;
         /** When this proxy was notified that the backend is draining or gone. */
         long downSinceUs;
     }
@@ -150,9 +150,9 @@
     private final EventLoop loop;
     private final BackendPool pool;
     /** The ejected servers, each with the time at which its ejection ends. */
-    private final Map<String, Long> resting = new HashMap<>();
+    private final Map<String, Long> ejectedUntilUs = new HashMap<>();
     /** The module that takes new requests. */
-    private DecisionModule newest;
+    private DecisionModule newestModule;
     /** The newest module and the earlier ones that still have pending requests, oldest first. */
     private final List<DecisionModule> modules = new ArrayList<>();
     private long seed;
@@ -162,24 +162,24 @@
     private long requestsFailed;
     private final Map<String, Backend> backends = new HashMap<>();
     /** All backends that were ever listed or in maintenance. */
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> knownBackends = new HashSet<>();
     /** Backends in maintenance: nothing is sent to them, whatever their status in the list. */
-    private final Set<String> out = new HashSet<>();
+    private final Set<String> inMaintenance = new HashSet<>();
     private final PendingRequests requests;
     private final HealthProbes probes;
-    private final StartTimes starts;
+    private final StartTimes startTimes;
     private final Invariants invariants = new Invariants();
-    private long lastId;
-    /** From this time on the deadlines of new requests are limited to {@link #answerByUs}. */
-    private long boundFromUs = Long.MAX_VALUE;
-    /** The latest deadline of a request received at {@link #boundFromUs} or later. */
-    private long answerByUs = Long.MAX_VALUE;
+    private long lastRequestId;
+    /** From this time on the deadlines of new requests are limited to {@link #deadlineLimitUs}. */
+    private long deadlineLimitFromUs = Long.MAX_VALUE;
+    /** The latest deadline of a request received at {@link #deadlineLimitFromUs} or later. */
+    private long deadlineLimitUs = Long.MAX_VALUE;
     /** The latest deadline of all requests received so far. */
-    private long lastDueUs;
+    private long latestDeadlineUs;
     /** True while a module handles an event. */
-    private boolean deciding;
+    private boolean handlingEvent;
     /** Run when the newest module asks discovery to report changes. */
-    private Runnable watch = () -> { };
+    private Runnable watchAction = () -> { };
     /** Null if metrics are disabled. */
     private final Meters meters;
     /** Null if no state is shared with other proxies. */
@@ -192,15 +192,15 @@
     Driver(Config config, Clock clock, EventLoop loop, BackendPool pool, Meters meters) {
         this.meters = meters;
         this.settings = config.settings();
-        this.starts = new StartTimes(settings.rules().coldUs());
+        this.startTimes = new StartTimes(settings.rules().coldUs());
         this.clock = clock;
         this.requests = new PendingRequests(clock);
         this.loop = loop;
         this.pool = pool;
         this.probes = new HealthProbes(clock, loop, pool, config.loadReports());
         this.seed = config.seed();
-        this.newest = new DecisionModule();
-        modules.add(newest);
+        this.newestModule = new DecisionModule();
+        modules.add(newestModule);
     }
 
     /** A decision module together with the actions that it may call. */
@@ -237,21 +237,21 @@
         public void wakeAt(long atUs) {
             // At least one tick later: with a time in the past the loop would otherwise spin.
             long delayUs = Math.max(settings.tickUs(), atUs - clock.nowUs());
-            loop.schedule(() -> enter(() -> balancer.timer(Math.max(atUs, clock.nowUs()))), delayUs,
+            loop.schedule(() -> runEvent(() -> balancer.timer(Math.max(atUs, clock.nowUs()))), delayUs,
                     TimeUnit.MICROSECONDS);
         }
 
         @Override
         public void watchServers() {
-            if (this == newest) {
-                loop.execute(watch);
+            if (this == newestModule) {
+                loop.execute(watchAction);
             }
         }
 
         @Override
         public void verdict(String server, Verdict verdict, long untilUs) {
             if (verdict == Verdict.RESTS) {
-                resting.put(server, untilUs);
+                ejectedUntilUs.put(server, untilUs);
             }
             if (shared != null) {
                 SHARED.atDebug().addKeyValue("server", server).addKeyValue("verdict", verdict)
@@ -286,7 +286,7 @@
     }
 
     /** Passes an event to the newest module and to all earlier ones that still have pending requests. */
-    private void all(Consumer<Balancer> event) {
+    private void forEachModule(Consumer<Balancer> event) {
         for (DecisionModule module : List.copyOf(modules)) {
             event.accept(module.balancer);
         }
@@ -297,18 +297,18 @@
      * The settings must have the same classes and tenants, in the same order, as the current ones.
      */
     void applySettings(Settings newSettings) {
-        enter(() -> {
+        runEvent(() -> {
             settings = newSettings;
             requestsEnded = 0;
             requestsFailed = 0;
             seed++;
-            newest = new DecisionModule();
+            newestModule = new DecisionModule();
             modules.removeIf(module -> module.pendingRequests == 0);
-            modules.add(newest);
-            List<Server> servers = backends.values().stream().filter(b -> b.listed != null)
-                    .map(b -> b.listed).toList();
-            newest.balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, servers);
-            out.forEach(server -> newest.balancer.maintenance(clock.nowUs(), server, true));
+            modules.add(newestModule);
+            List<Server> servers = backends.values().stream().filter(b -> b.upServer != null)
+                    .map(b -> b.upServer).toList();
+            newestModule.balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, servers);
+            inMaintenance.forEach(server -> newestModule.balancer.maintenance(clock.nowUs(), server, true));
             if (shared != null) {
                 loop.execute(shared::renew);
             }
@@ -317,9 +317,9 @@
 
     /** Returns the servers that are ejected at present. */
     List<String> ejectedServers() {
-        long now = clock.nowUs();
-        resting.values().removeIf(untilUs -> untilUs <= now);
-        return List.copyOf(resting.keySet());
+        long nowUs = clock.nowUs();
+        ejectedUntilUs.values().removeIf(endUs -> endUs <= nowUs);
+        return List.copyOf(ejectedUntilUs.keySet());
     }
 
     /** Returns the number of requests that have ended since the newest settings were applied. */
@@ -337,7 +337,7 @@
 
     /** Sets the action to run when the module asks discovery to report changes of the list. */
     void onWatchRequested(Runnable action) {
-        watch = action;
+        watchAction = action;
     }
 
     /**
@@ -355,47 +355,48 @@
         public void verdict(String server, Verdict verdict, long untilMs) {
             SHARED.atDebug().addKeyValue("server", server).addKeyValue("verdict", verdict)
                     .addKeyValue("until_ms", untilMs).log("a peer's verdict");
-            enter(() -> all(b -> b.peerVerdict(clock.nowUs(), server, verdict, untilMs * 1000)));
+            runEvent(() -> forEachModule(b -> b.peerVerdict(clock.nowUs(), server, verdict, untilMs * 1000)));
         }
 
         @Override
         public void serverBudget(String server, long left, long untilMs) {
             // Only to the newest module: two modules with the same tokens would spend them twice.
-            enter(() -> newest.balancer.serverBudget(clock.nowUs(), server, left, untilMs * 1000));
+            runEvent(() -> newestModule.balancer.serverBudget(clock.nowUs(), server, left, untilMs * 1000));
         }
 
         @Override
         public void classBudget(String name, long left, long untilMs) {
-            enter(() -> newest.balancer.classBudget(clock.nowUs(), classNumber(name), left,
+            runEvent(() -> newestModule.balancer.classBudget(clock.nowUs(), classIndex(name), left,
                     untilMs * 1000));
         }
 
         @Override
         public void affinity(String name, Collection<String> servers) {
-            enter(() -> newest.balancer.affinity(clock.nowUs(), classNumber(name), servers));
+            runEvent(() -> newestModule.balancer.affinity(clock.nowUs(), classIndex(name), servers));
         }
     }
 
     /** Receives the results of attempts. */
-    private final UpstreamAttempt.Listener attempts = new UpstreamAttempt.Listener() {
+    private final UpstreamAttempt.Listener attemptListener = new UpstreamAttempt.Listener() {
         @Override
-        public BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange from,
-                String type, long length) {
-            return Driver.this.streamStarted(attempt, from, type, length);
+        public BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange exchange,
+                String contentType, long length) {
+            return Driver.this.streamStarted(attempt, exchange, contentType, length);
         }
 
         @Override
         public long maxBufferingUs(UpstreamAttempt attempt) {
-            return settings.classes().get(attempt.request.inbound.requestClass()).aimUs() / HOLD_PART;
+            return settings.classes().get(attempt.request.inbound.requestClass()).aimUs()
+                    / BUFFERING_AIM_DIVISOR;
         }
 
         @Override
         public void ended(UpstreamAttempt attempt, Answer answer) {
-            Driver.this.ended(attempt, answer);
+            Driver.this.attemptEnded(attempt, answer);
         }
     };
 
-    private int classNumber(String name) {
+    private int classIndex(String name) {
         return settings.classes().stream().map(RequestClass::name).toList().indexOf(name);
     }
 
@@ -426,17 +427,17 @@
     /** Returns whether at least one backend is listed as up and not in maintenance. */
     boolean canServe() {
         return backends.entrySet().stream()
-                .anyMatch(b -> b.getValue().status == ServerStatus.UP && !out.contains(b.getKey()));
+                .anyMatch(b -> b.getValue().status == ServerStatus.UP && !inMaintenance.contains(b.getKey()));
     }
 
     /** Returns whether the backend was ever listed or in maintenance. */
     boolean isKnown(String backend) {
-        return known.contains(backend);
+        return knownBackends.contains(backend);
     }
 
     /** Returns the backends in maintenance. */
     Set<String> backendsInMaintenance() {
-        return Set.copyOf(out);
+        return Set.copyOf(inMaintenance);
     }
 
     // ---- events
@@ -444,54 +445,58 @@
     /**
      * Applies a list of backends, or changes to it, received from discovery. Times are by the driver's clock.
      *
-     * @param toldUs the earliest time at which discovery may count this proxy as notified of the changes
-     * @param currentUs when the previous list was last known to be current; {@link Long#MIN_VALUE} if it
-     *     never was
+     * @param notifiedAtUs the earliest time at which discovery may count this proxy as notified of the
+     *     changes
+     * @param previousListCurrentUs when the previous list was last known to be current; {@link
+     *     Long#MIN_VALUE} if it never was
      */
-    void listChanged(ListKind kind, List<Listing.Entry> entries, long toldUs, long currentUs) {
+    void listChanged(ListKind kind, List<Listing.Entry> entries, long notifiedAtUs,
+            long previousListCurrentUs) {
         if (shared != null) {
             // First, because the module needs the budget of a cold server before it sees the server.
             shared.listed(kind == ListKind.CHANGES, entries.stream().map(Listing.Entry::server).toList());
         }
-        enter(() -> {
-            long now = clock.nowUs();
+        runEvent(() -> {
+            long nowUs = clock.nowUs();
             // A full list is reduced to its differences from the previous one, to save work in the modules.
-            ListKind applied = kind == ListKind.REMEMBERED ? kind : ListKind.CHANGES;
-            List<Listing.Entry> differing = kind == ListKind.WHOLE ? difference(entries) : entries;
-            List<Server> moved = new ArrayList<>();
-            List<Server> servers = new ArrayList<>(starts.place(now, kind,
-                    differing.stream().map(Listing.Entry::server).toList(), currentUs, moved));
-            List<String> gone = new ArrayList<>();
+            ListKind appliedKind = kind == ListKind.REMEMBERED ? kind : ListKind.CHANGES;
+            List<Listing.Entry> differing = kind == ListKind.WHOLE ? differences(entries) : entries;
+            List<Server> movedServers = new ArrayList<>();
+            List<Server> servers = new ArrayList<>(startTimes.place(nowUs, kind,
+                    differing.stream().map(Listing.Entry::server).toList(), previousListCurrentUs,
+                    movedServers));
+            List<String> goneServers = new ArrayList<>();
             for (int i = 0; i < differing.size(); i++) {
                 Server server = servers.get(i);
-                known.add(server.id());
-                Backend b = backends.computeIfAbsent(server.id(), id -> new Backend());
-                b.told = differing.get(i);
-                b.address = b.told.address() == null ? b.address : b.told.address();
-                b.listed = server.status() == ServerStatus.UP ? server : null;
-                down(toldUs, b, server.status());
+                knownBackends.add(server.id());
+                Backend backend = backends.computeIfAbsent(server.id(), id -> new Backend());
+                backend.lastEntry = differing.get(i);
+                backend.address = backend.lastEntry.address() == null ? backend.address
+                        : backend.lastEntry.address();
+                backend.upServer = server.status() == ServerStatus.UP ? server : null;
+                updateStatus(notifiedAtUs, backend, server.status());
                 if (server.status() == ServerStatus.GONE) {
-                    gone.add(server.id());
+                    goneServers.add(server.id());
                 }
             }
-            for (Server later : moved) {
-                Backend b = backends.get(later.id());
-                if (applied == ListKind.CHANGES && b != null && b.listed != null) {
-                    b.listed = later;
-                    servers.add(later);
+            for (Server movedServer : movedServers) {
+                Backend backend = backends.get(movedServer.id());
+                if (appliedKind == ListKind.CHANGES && backend != null && backend.upServer != null) {
+                    backend.upServer = movedServer;
+                    servers.add(movedServer);
                 }
             }
-            all(balancer -> balancer.serversChanged(now, applied, servers));
-            gone.forEach(this::endConnecting);
-            gone.forEach(backends::remove);
-            resting.keySet().retainAll(backends.keySet());
+            forEachModule(balancer -> balancer.serversChanged(nowUs, appliedKind, servers));
+            goneServers.forEach(this::cancelUnsent);
+            goneServers.forEach(backends::remove);
+            ejectedUntilUs.keySet().retainAll(backends.keySet());
             if (shared != null) {
                 loop.execute(shared::known);
             }
             if (meters != null) {
                 meters.listReceived(kind == ListKind.WHOLE, backends.keySet());
             }
-            retire();
+            updateUnpooledAddresses();
         });
     }
 
@@ -499,19 +504,19 @@
      * Returns the entries of a full list that differ from the known backends, and an entry with status GONE
      * for each known backend that the list does not contain.
      */
-    private List<Listing.Entry> difference(List<Listing.Entry> whole) {
+    private List<Listing.Entry> differences(List<Listing.Entry> fullList) {
         List<Listing.Entry> differing = new ArrayList<>();
-        Set<String> named = new HashSet<>();
-        for (Listing.Entry entry : whole) {
-            named.add(entry.server().id());
-            Backend b = backends.get(entry.server().id());
-            if (b == null || !entry.equals(b.told)) {
+        Set<String> listedIds = new HashSet<>();
+        for (Listing.Entry entry : fullList) {
+            listedIds.add(entry.server().id());
+            Backend backend = backends.get(entry.server().id());
+            if (backend == null || !entry.equals(backend.lastEntry)) {
                 differing.add(entry);
             }
         }
-        backends.forEach((id, b) -> {
-            if (!named.contains(id)) {
-                differing.add(b.told.gone());
+        backends.forEach((id, backend) -> {
+            if (!listedIds.contains(id)) {
+                differing.add(backend.lastEntry.gone());
             }
         });
         return differing;
@@ -519,79 +524,80 @@
 
     /** Puts a backend into maintenance or ends its maintenance, at the operator's command. */
     void setMaintenance(String server, boolean enabled) {
-        if (!(enabled ? out.add(server) : out.remove(server))) {
+        if (!(enabled ? inMaintenance.add(server) : inMaintenance.remove(server))) {
             return;
         }
-        known.add(server);
-        retire();
+        knownBackends.add(server);
+        updateUnpooledAddresses();
         if (enabled) {
-            endConnecting(server);
+            cancelUnsent(server);
         }
-        enter(() -> all(balancer -> balancer.maintenance(clock.nowUs(), server, enabled)));
+        runEvent(() -> forEachModule(balancer -> balancer.maintenance(clock.nowUs(), server, enabled)));
     }
 
     /** Cancels an attempt and reports its outcome to the module in a later task of the event loop. */
-    private void callOff(UpstreamAttempt attempt, Outcome outcome) {
+    private void cancelAndReport(UpstreamAttempt attempt, Outcome outcome) {
         attempt.cancelExchange();
-        loop.execute(() -> ended(attempt, Answer.of(outcome)));
+        loop.execute(() -> attemptEnded(attempt, Answer.of(outcome)));
     }
 
     /** Tells the pool to keep no connections to backends in maintenance. */
-    private void retire() {
-        pool.setUnpooledAddresses(out.stream().map(backends::get)
-                .filter(b -> b != null && b.address != null).map(b -> b.address).collect(Collectors.toSet()));
+    private void updateUnpooledAddresses() {
+        pool.setUnpooledAddresses(inMaintenance.stream().map(backends::get)
+                .filter(b -> b != null && b.address != null).map(b -> b.address)
+                .collect(Collectors.toSet()));
     }
 
     /** Cancels the attempts and probes for a backend of which no byte has been sent yet. */
-    private void endConnecting(String server) {
-        List<UpstreamAttempt> connecting = requests.all().stream()
+    private void cancelUnsent(String server) {
+        List<UpstreamAttempt> unsent = requests.all().stream()
                 .flatMap(pending -> pending.attempts.stream())
                 .filter(attempt -> !attempt.ended && attempt.server.equals(server) && !attempt.hasStarted())
                 .toList();
-        connecting.forEach(attempt -> callOff(attempt, Outcome.NOT_SENT));
+        unsent.forEach(attempt -> cancelAndReport(attempt, Outcome.NOT_SENT));
         probes.cancelUnsent(server);
     }
 
-    private static void down(long toldUs, Backend b, ServerStatus status) {
-        if (status != ServerStatus.UP && (b.status == null || b.status == ServerStatus.UP)) {
-            b.downSinceUs = toldUs;
+    private static void updateStatus(long notifiedAtUs, Backend backend, ServerStatus status) {
+        if (status != ServerStatus.UP && (backend.status == null || backend.status == ServerStatus.UP)) {
+            backend.downSinceUs = notifiedAtUs;
         }
-        b.status = status;
+        backend.status = status;
     }
 
     void discoveryFailed() {
         if (meters != null) {
             meters.discoveryFailed();
         }
-        enter(() -> newest.balancer.discoveryFailed(clock.nowUs()));
+        runEvent(() -> newestModule.balancer.discoveryFailed(clock.nowUs()));
     }
 
     /** Accepts a request from a client and passes it to the newest module. */
     PendingRequest submit(Inbound inbound, Client client) {
-        long now = clock.nowUs();
-        long deadlineUs = dueUs(inbound.receivedAtUs(), inbound);
-        PendingRequest pending = new PendingRequest(Long.toString(++lastId), inbound, client, now,
-                deadlineUs, newest);
+        long nowUs = clock.nowUs();
+        long deadlineUs = deadlineUs(inbound.receivedAtUs(), inbound);
+        PendingRequest pending = new PendingRequest(Long.toString(++lastRequestId), inbound, client, nowUs,
+                deadlineUs, newestModule);
         requests.add(pending);
         pending.module.pendingRequests++;
         if (LOG.isDebugEnabled()) {
             LOG.atDebug().addKeyValue("request", inbound.callId())
-                    .addKeyValue("read_us_ago", now - inbound.receivedAtUs())
-                    .addKeyValue("left_ms", (deadlineUs - now) / 1000).log("request taken");
+                    .addKeyValue("read_us_ago", nowUs - inbound.receivedAtUs())
+                    .addKeyValue("left_ms", (deadlineUs - nowUs) / 1000).log("request taken");
         }
         if (inbound.upload() == null) {
-            armGuard(pending, now);
+            scheduleGuard(pending, nowUs);
         } else {
-            inbound.upload().onSpent(() -> enter(
+            inbound.upload().onSpent(() -> runEvent(
                     () -> pending.module.balancer.bodySpent(clock.nowUs(), pending.id)));
         }
-        enter(() -> {
+        runEvent(() -> {
             try {
                 pending.module.balancer.request(clock.nowUs(), new Request(pending.id, inbound.requestClass(),
                         inbound.tenant(), Math.max(0, deadlineUs - clock.nowUs()), inbound.workUs(),
                         inbound.clientRetry(), pending.uploading()));
             } catch (RuntimeException e) {
-                fault(pending, e);
+                failAfterException(pending, e);
             }
         });
         return pending;
@@ -603,9 +609,9 @@
      * at the latest.
      */
     void limitDeadlines(long fromUs, long maxDeadlineUs) {
-        boundFromUs = fromUs;
-        answerByUs = maxDeadlineUs;
-        lastDueUs = Math.max(lastDueUs, maxDeadlineUs);
+        deadlineLimitFromUs = fromUs;
+        deadlineLimitUs = maxDeadlineUs;
+        latestDeadlineUs = Math.max(latestDeadlineUs, maxDeadlineUs);
     }
 
     /**
@@ -613,23 +619,23 @@
      * whose large bodies are still being transferred.
      */
     long latestDeadlineUs() {
-        return lastDueUs;
+        return latestDeadlineUs;
     }
 
     /** Returns the deadline of a request whose last byte was received at {@code receivedAtUs}. */
-    private long dueUs(long receivedAtUs, Inbound inbound) {
-        long dueUs = receivedAtUs + inbound.timeLeftUs();
-        if (clock.nowUs() >= boundFromUs) {
-            dueUs = Math.min(dueUs, answerByUs);
+    private long deadlineUs(long receivedAtUs, Inbound inbound) {
+        long deadlineUs = receivedAtUs + inbound.timeLeftUs();
+        if (clock.nowUs() >= deadlineLimitFromUs) {
+            deadlineUs = Math.min(deadlineUs, deadlineLimitUs);
         }
-        lastDueUs = Math.max(lastDueUs, dueUs);
-        return dueUs;
+        latestDeadlineUs = Math.max(latestDeadlineUs, deadlineUs);
+        return deadlineUs;
     }
 
     /** Schedules the answer that is given if the request has none shortly before its deadline. */
-    private void armGuard(PendingRequest pending, long now) {
-        pending.guard = loop.schedule(() -> guard(pending), Math.max(0, pending.deadlineUs - GUARD_US - now),
-                TimeUnit.MICROSECONDS);
+    private void scheduleGuard(PendingRequest pending, long nowUs) {
+        pending.guard = loop.schedule(() -> failBeforeDeadline(pending),
+                Math.max(0, pending.deadlineUs - DEADLINE_MARGIN_US - nowUs), TimeUnit.MICROSECONDS);
     }
 
     /** Handles the last byte of an upload: the request's deadline and time-outs count from now on. */
@@ -637,29 +643,29 @@
         if (pending.answered() || !pending.uploading()) {
             return;
         }
-        long now = clock.nowUs();
-        pending.uploadedUs = now;
-        pending.deadlineUs = dueUs(now, pending.inbound);
-        armGuard(pending, now);
-        pending.attempts.stream().filter(attempt -> !attempt.ended).forEach(attempt -> limit(attempt, now,
-                pending.deadlineUs));
-        enter(() -> pending.module.balancer.uploaded(clock.nowUs(), pending.id));
+        long nowUs = clock.nowUs();
+        pending.uploadedUs = nowUs;
+        pending.deadlineUs = deadlineUs(nowUs, pending.inbound);
+        scheduleGuard(pending, nowUs);
+        pending.attempts.stream().filter(attempt -> !attempt.ended)
+                .forEach(attempt -> scheduleTimeout(attempt, nowUs, pending.deadlineUs));
+        runEvent(() -> pending.module.balancer.uploaded(clock.nowUs(), pending.id));
     }
 
     /** Schedules the time-out of an attempt. */
-    private void limit(UpstreamAttempt attempt, long now, long untilUs) {
-        attempt.timeoutAtUs = untilUs;
-        attempt.timeout = loop.schedule(() -> timedOut(attempt), untilUs - now, TimeUnit.MICROSECONDS);
+    private void scheduleTimeout(UpstreamAttempt attempt, long nowUs, long timeoutAtUs) {
+        attempt.timeoutAtUs = timeoutAtUs;
+        attempt.timeout = loop.schedule(() -> timedOut(attempt), timeoutAtUs - nowUs, TimeUnit.MICROSECONDS);
     }
 
     /** Handles the close of the client's connection. */
     void clientGone(PendingRequest pending) {
         if (pending.answering != null && !pending.answering.ended) {
             pending.answering.cancelExchange();
-            ended(pending.answering, Answer.of(Outcome.CANCELLED));
+            attemptEnded(pending.answering, Answer.of(Outcome.CANCELLED));
         } else if (!pending.answered()) {
-            finish(pending, Meters.Result.GONE);
-            enter(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
+            recordResult(pending, Meters.Result.GONE);
+            runEvent(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
             endIfDone(pending);
         }
     }
@@ -668,14 +674,14 @@
      * Answers a request as failed because no answer was given shortly before its deadline. The outcomes of
      * its attempts are still passed to the module.
      */
-    private void guard(PendingRequest pending) {
+    private void failBeforeDeadline(PendingRequest pending) {
         if (!pending.answered()) {
-            boolean waits = pending.attemptsOut == 0;
-            finish(pending, Meters.Result.FAILED);
+            boolean noAttemptPending = pending.attemptsOut == 0;
+            recordResult(pending, Meters.Result.FAILED);
             pending.client.failed(delivery(pending));
-            if (waits) {
+            if (noAttemptPending) {
                 // Otherwise the module might still send it, and would wait forever for that attempt's end.
-                enter(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
+                runEvent(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
             }
         }
     }
@@ -686,31 +692,31 @@
      *
      * @return the sink for the answer's body; null if the request has been answered already
      */
-    private BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange from,
-            String type, long length) {
+    private BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange exchange,
+            String contentType, long length) {
         PendingRequest pending = attempt.request;
         if (attempt.ended || pending.answered()) {
-            ended(attempt, Answer.of(Outcome.CANCELLED));
+            attemptEnded(attempt, Answer.of(Outcome.CANCELLED));
             return null;
         }
         pending.answering = attempt;
-        finish(pending, Meters.Result.SERVED);
+        recordResult(pending, Meters.Result.SERVED);
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
-        long now = clock.nowUs();
-        enter(() -> pending.module.balancer.streamStarted(now, pending.id, attempt.number, attempt.server,
-                now - begunAtUs(attempt)));
-        return pending.client.streamStarted(from, type, length, delivery(pending));
+        long nowUs = clock.nowUs();
+        runEvent(() -> pending.module.balancer.streamStarted(nowUs, pending.id, attempt.number,
+                attempt.server, nowUs - processableSinceUs(attempt)));
+        return pending.client.streamStarted(exchange, contentType, length, delivery(pending));
     }
 
     /** Returns when the server could start to process the attempt: when the request's last byte was sent. */
-    private static long begunAtUs(UpstreamAttempt attempt) {
+    private static long processableSinceUs(UpstreamAttempt attempt) {
         return attempt.request.uploading() ? attempt.sentAtUs
                 : Math.max(attempt.sentAtUs, attempt.request.uploadedUs);
     }
 
-    private void ended(UpstreamAttempt attempt, Answer answer) {
+    private void attemptEnded(UpstreamAttempt attempt, Answer answer) {
         if (attempt.ended) {
             return;
         }
@@ -728,22 +734,22 @@
                     .addKeyValue("attempt", attempt.number).addKeyValue("backend", attempt.server)
                     .addKeyValue("outcome", answer.outcome()).log("attempt ended");
         }
-        enter(() -> {
+        runEvent(() -> {
             pending.attemptsOut--;
             if (answer.outcome() == Outcome.OK && !pending.answered()) {
-                finish(pending, Meters.Result.SERVED);
+                recordResult(pending, Meters.Result.SERVED);
                 pending.client.served(answer.body(), answer.type(), delivery(pending));
             }
-            long now = clock.nowUs();
+            long nowUs = clock.nowUs();
             try {
                 if (answer.improper()) {
-                    withdraw(now, pending);
+                    failMalformed(nowUs, pending);
                 }
-                pending.module.balancer.outcome(now, pending.id, attempt.number, attempt.server,
-                        answer.improper() ? Outcome.CANCELLED : answer.outcome(), now - begunAtUs(attempt),
-                        pending.answered(), answer.report());
+                pending.module.balancer.outcome(nowUs, pending.id, attempt.number, attempt.server,
+                        answer.improper() ? Outcome.CANCELLED : answer.outcome(),
+                        nowUs - processableSinceUs(attempt), pending.answered(), answer.report());
             } catch (RuntimeException e) {
-                fault(pending, e);
+                failAfterException(pending, e);
             }
             endIfDone(pending);
         });
@@ -753,16 +759,16 @@
      * Fails a request that the backend rejected as malformed. This counts as no failure of the backend, and
      * the request is not retried.
      */
-    private void withdraw(long now, PendingRequest pending) {
+    private void failMalformed(long nowUs, PendingRequest pending) {
         if (!pending.answered()) {
-            finish(pending, Meters.Result.FAILED);
+            recordResult(pending, Meters.Result.FAILED);
             pending.client.failed(delivery(pending));
-            pending.module.balancer.clientGone(now, pending.id);
+            pending.module.balancer.clientGone(nowUs, pending.id);
         }
     }
 
     /** Fails a request for which the module threw an exception. */
-    private void fault(PendingRequest pending, RuntimeException e) {
+    private void failAfterException(PendingRequest pending, RuntimeException e) {
         LOG.atError().addKeyValue("request", pending.inbound.callId()).setCause(e).log("request failed");
         fail(pending.id);
     }
@@ -771,14 +777,14 @@
      * Records that a request is answered or that its client has gone. The caller writes the answer to the
      * client's connection.
      */
-    private void finish(PendingRequest pending, Meters.Result result) {
-        long now = clock.nowUs();
+    private void recordResult(PendingRequest pending, Meters.Result result) {
+        long nowUs = clock.nowUs();
         invariants.check(result == Meters.Result.GONE || pending.uploading()
-                || now <= Math.max(pending.deadlineUs, pending.readUs) + ANSWER_SLACK_US,
+                || nowUs <= Math.max(pending.deadlineUs, pending.readUs) + ANSWER_SLACK_US,
                 Rule.ANSWERED_IN_TIME,
-                pending.inbound.callId(), () -> pending.state(now));
-        pending.answer(result, now);
-        if (pending.module == newest && result != Meters.Result.GONE) {
+                pending.inbound.callId(), () -> pending.state(nowUs));
+        pending.answer(result, nowUs);
+        if (pending.module == newestModule && result != Meters.Result.GONE) {
             requestsEnded++;
             requestsFailed += result == Meters.Result.SERVED ? 0 : 1;
         }
@@ -793,7 +799,7 @@
             // The upload will never be complete, and its attempts have no time-out that would end them.
             pending.attempts.stream()
                     .filter(attempt -> !attempt.ended && attempt != pending.answering)
-                    .forEach(attempt -> callOff(attempt, Outcome.CANCELLED));
+                    .forEach(attempt -> cancelAndReport(attempt, Outcome.CANCELLED));
         }
     }
 
@@ -810,18 +816,18 @@
 
     private void endIfDone(PendingRequest pending) {
         if (requests.endIfDone(pending) && --pending.module.pendingRequests == 0
-                && pending.module != newest) {
+                && pending.module != newestModule) {
             modules.remove(pending.module);
         }
     }
 
     /** Runs an event that calls a module: now, or once the current event has been handled. */
-    private void enter(Runnable event) {
-        if (deciding) {
-            loop.execute(() -> enter(event));
+    private void runEvent(Runnable event) {
+        if (handlingEvent) {
+            loop.execute(() -> runEvent(event));
             return;
         }
-        deciding = true;
+        handlingEvent = true;
         try {
             event.run();
         } catch (RuntimeException e) {
@@ -829,7 +835,7 @@
             // answered by their scheduled guards.
             LOG.error("failed to handle an event for the decision module", e);
         } finally {
-            deciding = false;
+            handlingEvent = false;
         }
     }
 
@@ -840,32 +846,34 @@
         if (pending == null) {
             return;
         }
-        long now = clock.nowUs();
-        UpstreamAttempt attempt = new UpstreamAttempt(pending, pending.attempts.size(), server, now,
-                attempts);
+        long nowUs = clock.nowUs();
+        UpstreamAttempt attempt = new UpstreamAttempt(pending, pending.attempts.size(), server, nowUs,
+                attemptListener);
         pending.attempts.add(attempt);
         pending.attemptsOut++;
-        long untilUs = timeoutUs > 0 ? Math.min(pending.deadlineUs, now + timeoutUs) : pending.deadlineUs;
+        long timeoutAtUs = timeoutUs > 0 ? Math.min(pending.deadlineUs, nowUs + timeoutUs)
+                : pending.deadlineUs;
         Backend backend = backends.get(server);
-        if (backend == null || out.contains(server) || pending.answered()
-                || untilUs <= now && !pending.uploading()
+        if (backend == null || inMaintenance.contains(server) || pending.answered()
+                || timeoutAtUs <= nowUs && !pending.uploading()
                 || pending.attempts.size() > settings.limits().maxAttempts()) {
-            ended(attempt, Answer.of(Outcome.NOT_SENT));
+            attemptEnded(attempt, Answer.of(Outcome.NOT_SENT));
             return;
         }
         if (pending.uploading()) {
             attempt.timeoutAtUs = Long.MAX_VALUE;
         } else {
-            limit(attempt, now, untilUs);
+            scheduleTimeout(attempt, nowUs, timeoutAtUs);
         }
         try {
-            attempt.exchange = pool.startExchange(backend.address, () -> message(attempt, backend), attempt);
+            attempt.exchange = pool.startExchange(backend.address, () -> buildRequest(attempt, backend),
+                    attempt);
         } catch (RuntimeException e) {
             // If rethrown, the exception would interrupt the module in the middle of its event, and the
             // attempt would never end.
             LOG.atError().addKeyValue("request", pending.inbound.callId()).addKeyValue("backend", server)
                     .setCause(e).log("attempt not begun");
-            ended(attempt, Answer.of(Outcome.NOT_SENT));
+            attemptEnded(attempt, Answer.of(Outcome.NOT_SENT));
         }
     }
 
@@ -873,7 +881,7 @@
         if (!attempt.ended) {
             attempt.cancelExchange();
             // While the connection is being established, no byte of the request can have been sent.
-            ended(attempt, Answer.of(attempt.hasStarted() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
+            attemptEnded(attempt, Answer.of(attempt.hasStarted() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
         }
     }
 
@@ -882,60 +890,62 @@
      * byte is written: while the connection was being established, the request may have ended or the backend
      * may have started to drain.
      */
-    private HttpRequest message(UpstreamAttempt attempt, Backend backend) {
-        long now = clock.nowUs();
-        Inbound in = attempt.request.inbound;
-        long leftMs = attempt.request.uploading() ? in.timeLeftUs() / 1000
-                : (attempt.timeoutAtUs - now) / 1000;
-        RequestClass kind = settings.classes().get(in.requestClass());
-        SendGuard.Decision decision = SendGuard.decide(attempt, kind, barred(attempt.server, backend), leftMs,
-                now);
+    private HttpRequest buildRequest(UpstreamAttempt attempt, Backend backend) {
+        long nowUs = clock.nowUs();
+        Inbound inbound = attempt.request.inbound;
+        long leftMs = attempt.request.uploading() ? inbound.timeLeftUs() / 1000
+                : (attempt.timeoutAtUs - nowUs) / 1000;
+        RequestClass requestClass = settings.classes().get(inbound.requestClass());
+        SendGuard.Decision decision = SendGuard.decide(attempt, requestClass,
+                isExcluded(attempt.server, backend), leftMs, nowUs);
         if (decision != SendGuard.Decision.SEND) {
             if (LOG.isDebugEnabled()) {
-                LOG.atDebug().addKeyValue("request", in.callId()).addKeyValue("attempt", attempt.number)
+                LOG.atDebug().addKeyValue("request", inbound.callId()).addKeyValue("attempt", attempt.number)
                         .addKeyValue("backend", attempt.server).addKeyValue("verdict", decision)
                         .log("attempt held back");
             }
             return null;
         }
-        checkBeginning(attempt, backend, kind, leftMs);
-        HttpRequest message = in.upload() == null
-                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, in.method(), in.uri(),
-                        Unpooled.wrappedBuffer(in.body()))
-                : new Upload.Head(HttpVersion.HTTP_1_1, in.method(), in.uri(), in.upload());
+        checkSendInvariants(attempt, backend, requestClass, leftMs);
+        HttpRequest message = inbound.upload() == null
+                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, inbound.method(), inbound.uri(),
+                        Unpooled.wrappedBuffer(inbound.body()))
+                : new Upload.Head(HttpVersion.HTTP_1_1, inbound.method(), inbound.uri(), inbound.upload());
         HttpHeaders headers = message.headers();
         headers.set(HttpHeaderNames.HOST, Addresses.text(backend.address));
-        headers.set("X-Call-Id", in.callId());
-        headers.set("X-Call-Class", settings.classes().get(in.requestClass()).name());
+        headers.set("X-Call-Id", inbound.callId());
+        headers.set("X-Call-Class", settings.classes().get(inbound.requestClass()).name());
         headers.set("X-Budget-Ms", leftMs);
-        if (in.idempotencyKey() != null) {
-            headers.set("Idempotency-Key", in.idempotencyKey());
+        if (inbound.idempotencyKey() != null) {
+            headers.set("Idempotency-Key", inbound.idempotencyKey());
         }
-        if (in.contentType() != null) {
-            headers.set(HttpHeaderNames.CONTENT_TYPE, in.contentType());
+        if (inbound.contentType() != null) {
+            headers.set(HttpHeaderNames.CONTENT_TYPE, inbound.contentType());
         }
-        if (in.upload() != null) {
-            in.upload().describe(headers);
-        } else if (in.body().length > 0 || !in.method().equals(HttpMethod.GET)) {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, in.body().length);
+        if (inbound.upload() != null) {
+            inbound.upload().describe(headers);
+        } else if (inbound.body().length > 0 || !inbound.method().equals(HttpMethod.GET)) {
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, inbound.body().length);
         }
         return message;
     }
 
     /** Checks the invariants of an attempt just before its first byte is written. */
-    private void checkBeginning(UpstreamAttempt attempt, Backend backend, RequestClass kind, long leftMs) {
+    private void checkSendInvariants(UpstreamAttempt attempt, Backend backend, RequestClass requestClass,
+            long leftMs) {
         PendingRequest pending = attempt.request;
-        long now = clock.nowUs();
+        long nowUs = clock.nowUs();
         String id = pending.inbound.callId();
-        Supplier<String> state = () -> pending.state(now);
+        Supplier<String> state = () -> pending.state(nowUs);
         invariants.check(!pending.answered() && pending.client.isOpen(), Rule.ATTEMPT_FOR_WAITING_CLIENT, id,
                 state);
         invariants.check(backend.status == ServerStatus.UP
-                || now <= backend.downSinceUs + settings.rules().drainGraceUs(),
+                || nowUs <= backend.downSinceUs + settings.rules().drainGraceUs(),
                 Rule.ATTEMPT_WITHIN_GRACE, id, state);
-        invariants.check(SendGuard.isSafeToRepeat(attempt, kind, now - HELD_UP_US), Rule.REPEATED_SAFELY,
-                id, state);
-        invariants.check(pending.uploading() || leftMs * 1000 <= pending.deadlineUs - now + HELD_UP_US,
+        invariants.check(SendGuard.isSafeToRepeat(attempt, requestClass, nowUs - MAX_PROCESS_PAUSE_US),
+                Rule.REPEATED_SAFELY, id, state);
+        invariants.check(
+                pending.uploading() || leftMs * 1000 <= pending.deadlineUs - nowUs + MAX_PROCESS_PAUSE_US,
                 Rule.DEADLINE_PASSED_ON, id, state);
     }
 
@@ -943,9 +953,9 @@
      * Returns whether no attempt may start at a backend, because the backend is in maintenance or its drain's
      * grace period is over or about to be.
      */
-    private boolean barred(String server, Backend backend) {
-        return out.contains(server) || backend.status != ServerStatus.UP && clock.nowUs()
-                >= backend.downSinceUs + settings.rules().drainGraceUs() - GRACE_MARGIN_US;
+    private boolean isExcluded(String server, Backend backend) {
+        return inMaintenance.contains(server) || backend.status != ServerStatus.UP && clock.nowUs()
+                >= backend.downSinceUs + settings.rules().drainGraceUs() - DRAIN_GRACE_MARGIN_US;
     }
 
     private void refuse(String request, long retryAfterUs) {
@@ -955,7 +965,7 @@
                 LOG.atDebug().addKeyValue("request", pending.inbound.callId())
                         .addKeyValue("state", pending.state(clock.nowUs())).log("request refused");
             }
-            finish(pending, Meters.Result.REFUSED);
+            recordResult(pending, Meters.Result.REFUSED);
             pending.client.refused(retryAfterUs, delivery(pending));
         }
     }
@@ -963,7 +973,7 @@
     private void fail(String request) {
         PendingRequest pending = requests.get(request);
         if (pending != null && !pending.answered()) {
-            finish(pending, Meters.Result.FAILED);
+            recordResult(pending, Meters.Result.FAILED);
             pending.client.failed(delivery(pending));
         }
     }
@@ -975,17 +985,17 @@
         }
         UpstreamAttempt attempt = pending.attempts.get(number);
         attempt.cancelExchange();
-        ended(attempt, Answer.of(Outcome.CANCELLED));
+        attemptEnded(attempt, Answer.of(Outcome.CANCELLED));
     }
 
     private void probe(String server, DecisionModule module) {
-        HealthProbes.Listener told = (asked, outcome, tookUs, report) -> enter(
-                () -> module.balancer.probeResult(clock.nowUs(), asked, outcome, tookUs, report));
+        HealthProbes.Listener listener = (probed, outcome, tookUs, report) -> runEvent(
+                () -> module.balancer.probeResult(clock.nowUs(), probed, outcome, tookUs, report));
         Backend backend = backends.get(server);
-        if (backend == null || out.contains(server)) {
-            probes.reportNotSent(server, told);
+        if (backend == null || inMaintenance.contains(server)) {
+            probes.reportNotSent(server, listener);
         } else {
-            probes.send(server, backend.address, () -> barred(server, backend), told);
+            probes.send(server, backend.address, () -> isExcluded(server, backend), listener);
         }
     }
 }
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -63,19 +63,19 @@
     private final Clock clock;
     private final EventLoop loop;
     private final BackendPool pool;
-    private final boolean loadReports;
-    private final Set<Probe> out = new HashSet<>();
+    private final boolean requestLoadReports;
+    private final Set<Probe> pending = new HashSet<>();
 
     /**
      * Creates probes that use the pool's connections.
      *
-     * @param loadReports whether to ask backends for their load rather than only for their health
+     * @param requestLoadReports whether to ask backends for their load rather than only for their health
      */
-    HealthProbes(Clock clock, EventLoop loop, BackendPool pool, boolean loadReports) {
+    HealthProbes(Clock clock, EventLoop loop, BackendPool pool, boolean requestLoadReports) {
         this.clock = clock;
         this.loop = loop;
         this.pool = pool;
-        this.loadReports = loadReports;
+        this.requestLoadReports = requestLoadReports;
     }
 
     /** Reports a probe as not sent, because nothing may be sent to its backend. */
@@ -91,14 +91,15 @@
      */
     void send(String server, InetSocketAddress address, BooleanSupplier excluded, Listener listener) {
         Probe probe = new Probe(server, listener, clock.nowUs());
-        out.add(probe);
+        pending.add(probe);
         probe.timeout = loop.schedule(() -> timedOut(probe), PROBE_TIMEOUT_US, TimeUnit.MICROSECONDS);
         try {
             probe.exchange = pool.startExchange(address,
-                    () -> excluded.getAsBoolean() ? null : message(address), answer -> ended(probe, answer));
+                    () -> excluded.getAsBoolean() ? null : buildRequest(address),
+                    answer -> finish(probe, answer));
         } catch (RuntimeException e) {
             LOG.atError().addKeyValue("backend", server).setCause(e).log("failed to start the probe");
-            ended(probe, Answer.of(Outcome.NOT_SENT));
+            finish(probe, Answer.of(Outcome.NOT_SENT));
         }
     }
 
@@ -107,40 +108,40 @@
      * later task of the event loop.
      */
     void cancelUnsent(String server) {
-        List<Probe> connecting = out.stream()
+        List<Probe> unsent = pending.stream()
                 .filter(probe -> probe.server.equals(server) && !probe.exchange.hasStarted()).toList();
-        for (Probe probe : connecting) {
+        for (Probe probe : unsent) {
             probe.exchange.cancel();
-            loop.execute(() -> ended(probe, Answer.of(Outcome.NOT_SENT)));
+            loop.execute(() -> finish(probe, Answer.of(Outcome.NOT_SENT)));
         }
     }
 
     private void timedOut(Probe probe) {
         probe.exchange.cancel();
-        ended(probe, Answer.of(Outcome.TIMEOUT));
+        finish(probe, Answer.of(Outcome.TIMEOUT));
     }
 
-    private FullHttpRequest message(InetSocketAddress address) {
+    private FullHttpRequest buildRequest(InetSocketAddress address) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                loadReports ? "/stats" : "/health/live", Unpooled.EMPTY_BUFFER);
+                requestLoadReports ? "/stats" : "/health/live", Unpooled.EMPTY_BUFFER);
         message.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
         return message;
     }
 
-    private void ended(Probe probe, Answer answer) {
-        if (!out.remove(probe)) {
+    private void finish(Probe probe, Answer answer) {
+        if (!pending.remove(probe)) {
             return;
         }
         probe.timeout.cancel(false);
         probe.listener.probeEnded(probe.server, answer.outcome(), clock.nowUs() - probe.sentAtUs,
-                report(answer));
+                loadReport(answer));
     }
 
     /**
      * Returns the load from the answer's header or, if the header is missing, from its body; null if unknown.
      */
-    private LoadReport report(Answer answer) {
-        if (answer.report() != null || !loadReports) {
+    private LoadReport loadReport(Answer answer) {
+        if (answer.report() != null || !requestLoadReports) {
             return answer.report();
         }
         return BackendPool.parseLoadReport(BackendPool.asciiText(answer.body()));
--- a/src/main/java/larkworks/proxy/Invariants.java
+++ b/src/main/java/larkworks/proxy/Invariants.java
@@ -38,15 +38,15 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger("invariants");
-    private static final long LOG_EVERY_NS = 1_000_000_000L;
+    private static final long LOG_INTERVAL_NS = 1_000_000_000L;
 
     private final Map<Rule, Long> violations = new EnumMap<>(Rule.class);
     private final Map<Rule, Long> loggedAtNs = new EnumMap<>(Rule.class);
     private Consumer<Rule> onViolation = rule -> { };
 
     /** Sets the action to run at each violation. */
-    void onViolation(Consumer<Rule> told) {
-        onViolation = told;
+    void onViolation(Consumer<Rule> action) {
+        onViolation = action;
     }
 
     /**
@@ -61,10 +61,10 @@
         }
         violations.merge(rule, 1L, Long::sum);
         onViolation.accept(rule);
-        long now = System.nanoTime();
-        Long before = loggedAtNs.get(rule);
-        if (before == null || now - before > LOG_EVERY_NS) {
-            loggedAtNs.put(rule, now);
+        long nowNs = System.nanoTime();
+        Long lastLoggedNs = loggedAtNs.get(rule);
+        if (lastLoggedNs == null || nowNs - lastLoggedNs > LOG_INTERVAL_NS) {
+            loggedAtNs.put(rule, nowNs);
             LOG.atError().addKeyValue("rule", rule).addKeyValue("request", request)
                     .addKeyValue("violations", violations.get(rule)).addKeyValue("state", state.get())
                     .log("invariant violated");
--- a/src/main/java/larkworks/proxy/Meters.java
+++ b/src/main/java/larkworks/proxy/Meters.java
@@ -39,11 +39,11 @@
 
     private static final double[] PERCENTILES = {0.5, 0.9, 0.99};
     /** Two significant digits would need ten times the memory of one, for each backend. */
-    private static final int DIGITS = 1;
-    private static final Duration LONGEST = Duration.ofSeconds(60);
+    private static final int PERCENTILE_DIGITS = 1;
+    private static final Duration MAX_DURATION = Duration.ofSeconds(60);
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final ExecutorService rendering = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService renderer = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "metrics");
         thread.setDaemon(true);
         return thread;
@@ -51,31 +51,31 @@
     private final List<Map<Result, Timer>> requests;
     private final Map<String, Map<Outcome, Timer>> attempts = new HashMap<>();
     private final Counter retries;
-    private final Counter wholeLists;
-    private final Counter changes;
+    private final Counter fullLists;
+    private final Counter listChanges;
     private final Counter discoveryFailures;
 
     Meters(List<RequestClass> classes) {
-        requests = classes.stream().map(kind -> {
+        requests = classes.stream().map(requestClass -> {
             Map<Result, Timer> timers = new EnumMap<>(Result.class);
             for (Result result : Result.values()) {
-                timers.put(result, timer("larkworks.requests", Tags.of("class", kind.name(), "result",
-                        word(result))));
+                timers.put(result, timer("larkworks.requests", Tags.of("class", requestClass.name(), "result",
+                        tagValue(result))));
             }
             return timers;
         }).toList();
         retries = registry.counter("larkworks.retries");
-        wholeLists = registry.counter("larkworks.lists", "kind", "whole");
-        changes = registry.counter("larkworks.lists", "kind", "changes");
+        fullLists = registry.counter("larkworks.lists", "kind", "whole");
+        listChanges = registry.counter("larkworks.lists", "kind", "changes");
         discoveryFailures = registry.counter("larkworks.discovery.failures");
     }
 
     private Timer timer(String name, Tags tags) {
         return Timer.builder(name).tags(tags).publishPercentiles(PERCENTILES)
-                .percentilePrecision(DIGITS).maximumExpectedValue(LONGEST).register(registry);
+                .percentilePrecision(PERCENTILE_DIGITS).maximumExpectedValue(MAX_DURATION).register(registry);
     }
 
-    private static String word(Enum<?> value) {
+    private static String tagValue(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 
@@ -91,7 +91,7 @@
         }
         attempts.computeIfAbsent(backend, b -> new EnumMap<>(Outcome.class))
                 .computeIfAbsent(outcome, o -> timer("larkworks.attempts",
-                        Tags.of("backend", backend, "outcome", word(o))))
+                        Tags.of("backend", backend, "outcome", tagValue(o))))
                 .record(tookUs, TimeUnit.MICROSECONDS);
     }
 
@@ -99,14 +99,14 @@
      * Records that a list was received. Removes the meters of backends that are no longer listed, as their
      * number would otherwise grow without limit.
      */
-    void listReceived(boolean whole, Set<String> present) {
-        (whole ? wholeLists : changes).increment();
+    void listReceived(boolean full, Set<String> listedBackends) {
+        (full ? fullLists : listChanges).increment();
         attempts.entrySet().removeIf(backend -> {
-            boolean gone = !present.contains(backend.getKey());
-            if (gone) {
+            boolean removed = !listedBackends.contains(backend.getKey());
+            if (removed) {
                 backend.getValue().values().forEach(registry::remove);
             }
-            return gone;
+            return removed;
         });
     }
 
@@ -117,33 +117,33 @@
 
     /** Records the violation of an invariant. */
     void invariantViolated(Invariants.Rule rule) {
-        registry.counter("larkworks.invariant.violations", "rule", word(rule)).increment();
+        registry.counter("larkworks.invariant.violations", "rule", tagValue(rule)).increment();
     }
 
     /** Records that a connection could not be accepted. */
     void acceptFailed(SystemError error) {
-        registry.counter("larkworks.accept.failures", "error", word(error)).increment();
+        registry.counter("larkworks.accept.failures", "error", tagValue(error)).increment();
     }
 
     /**
      * Registers a gauge whose value is read at each scrape. It is read on another thread, so the value must
      * be safe to read from there.
      */
-    <T> void registerGauge(String name, T of, ToDoubleFunction<T> figure, String... tags) {
-        Gauge.builder(name, of, figure).tags(tags).strongReference(true).register(registry);
+    <T> void registerGauge(String name, T source, ToDoubleFunction<T> value, String... tags) {
+        Gauge.builder(name, source, value).tags(tags).strongReference(true).register(registry);
     }
 
     /**
-     * Renders all meters in the Prometheus text format 0.0.4, and passes the text to {@code taker} on the
-     * rendering thread.
+     * Renders all meters in the Prometheus text format 0.0.4, and passes the text to {@code textConsumer} on
+     * the rendering thread.
      */
-    void scrape(Consumer<String> taker) {
-        rendering.execute(() -> taker.accept(registry.scrape()));
+    void scrape(Consumer<String> textConsumer) {
+        renderer.execute(() -> textConsumer.accept(registry.scrape()));
     }
 
     @Override
     public void close() {
-        rendering.shutdown();
+        renderer.shutdown();
         registry.close();
     }
 }
--- a/src/main/java/larkworks/proxy/Sockets.java
+++ b/src/main/java/larkworks/proxy/Sockets.java
@@ -19,21 +19,21 @@
 final class Sockets {
 
     /** Descriptors reserved for the jar, the selector, the standard streams, the listener and discovery. */
-    private static final int RESERVE = 48;
+    private static final int RESERVED_DESCRIPTORS = 48;
 
     private final int limit;
     /** The number of descriptors for connections that are not counted here. */
-    private final int apart;
+    private final int uncounted;
     /** The maximum number of counted sockets. */
-    private int most;
+    private int maxOpen;
     /**
      * The maximum number of counted sockets with which a connection to a backend may still be opened. The
      * rest is left to clients: without a descriptor their connections can't be accepted, and their requests
      * are lost.
      */
-    private int mostForBackends;
+    private int maxOpenForBackends;
     private List<BooleanSupplier> evictors = List.of();
-    private Runnable freed = () -> { };
+    private Runnable releaseAction = () -> { };
     /** The number of counted sockets. Changed on the loop only; read by the metrics thread as well. */
     private volatile int open;
 
@@ -41,25 +41,25 @@
      * Creates a count of sockets with a limit.
      *
      * @param limit the number of descriptors that this process may use
-     * @param apart how many of them are for connections that are not counted here
+     * @param uncounted how many of them are for connections that are not counted here
      */
-    Sockets(int limit, int apart) {
+    Sockets(int limit, int uncounted) {
         this.limit = limit;
-        this.apart = apart;
-        divide(limit);
+        this.uncounted = uncounted;
+        updateMaximums(limit);
     }
 
     /** Derives the maximum numbers of sockets from the number of descriptors. */
-    private void divide(int all) {
-        int left = all - apart;
-        most = Math.max(2, left - Math.min(RESERVE, left / 2));
-        mostForBackends = Math.max(1, most - most / 8);
+    private void updateMaximums(int descriptors) {
+        int counted = descriptors - uncounted;
+        maxOpen = Math.max(2, counted - Math.min(RESERVED_DESCRIPTORS, counted / 2));
+        maxOpenForBackends = Math.max(1, maxOpen - maxOpen / 8);
     }
 
     /** Sets whether another process of this proxy shares the limit, which leaves half of it to each. */
     void setLimitShared(boolean shared) {
-        divide(shared ? limit / 2 : limit);
-        makeRoom(most + 1);
+        updateMaximums(shared ? limit / 2 : limit);
+        evictUntilBelow(maxOpen + 1);
     }
 
     /**
@@ -80,11 +80,11 @@
 
     /** Sets the action to run whenever a counted socket is released. */
     void onRelease(Runnable action) {
-        freed = action;
+        releaseAction = action;
     }
 
     /** Closes connections until fewer than {@code bound} are open or none is left to close. */
-    private void makeRoom(int bound) {
+    private void evictUntilBelow(int bound) {
         while (open >= bound && evictOne()) {
             // Each iteration closes one connection, and its close calls release().
         }
@@ -97,8 +97,8 @@
 
     /** Counts a socket for a new connection to a backend; returns false if none is available. */
     boolean tryAcquire() {
-        makeRoom(mostForBackends);
-        if (open >= mostForBackends) {
+        evictUntilBelow(maxOpenForBackends);
+        if (open >= maxOpenForBackends) {
             return false;
         }
         open++;
@@ -109,13 +109,13 @@
      * Opens a connection for which {@link #tryAcquire} has counted a socket. The socket counts until the
      * connection has closed.
      *
-     * @param told called on the loop, never before this method returns, with the result of the connection
-     *     attempt; called with null if the system provided no socket
+     * @param onConnected called on the loop, never before this method returns, with the result of the
+     *     connection attempt; called with null if the system provided no socket
      * @return the channel that is being connected, or null if the system provided no socket
      */
     Channel connect(Bootstrap bootstrap, EventLoop loop, InetSocketAddress address,
-            Consumer<ChannelFuture> told) {
-        return connect(bootstrap, loop, address, this::release, told);
+            Consumer<ChannelFuture> onConnected) {
+        return connect(bootstrap, loop, address, this::release, onConnected);
     }
 
     /**
@@ -125,29 +125,29 @@
      * @see #connect(Bootstrap, EventLoop, InetSocketAddress, Consumer)
      */
     Channel connectReserved(Bootstrap bootstrap, EventLoop loop, InetSocketAddress address,
-            Consumer<ChannelFuture> told) {
-        return connect(bootstrap, loop, address, () -> { }, told);
+            Consumer<ChannelFuture> onConnected) {
+        return connect(bootstrap, loop, address, () -> { }, onConnected);
     }
 
     private static Channel connect(Bootstrap bootstrap, EventLoop loop, InetSocketAddress address,
-            Runnable ended, Consumer<ChannelFuture> told) {
+            Runnable onClosed, Consumer<ChannelFuture> onConnected) {
         ChannelFuture connecting;
         try {
             connecting = bootstrap.connect(address);
         } catch (RuntimeException e) {
             // No channel was opened, so no close listener will release the socket.
-            ended.run();
+            onClosed.run();
             throw e;
         }
         if (!connecting.channel().isRegistered() && connecting.isDone()) {
             // A channel that could not be registered has no event loop: its close future never completes, and
             // its listeners run on another thread.
-            ended.run();
-            loop.execute(() -> told.accept(null));
+            onClosed.run();
+            loop.execute(() -> onConnected.accept(null));
             return null;
         }
-        connecting.channel().closeFuture().addListener(closed -> ended.run());
-        connecting.addListener(done -> told.accept(connecting));
+        connecting.channel().closeFuture().addListener(closed -> onClosed.run());
+        connecting.addListener(done -> onConnected.accept(connecting));
         return connecting.channel();
     }
 
@@ -157,8 +157,8 @@
      */
     boolean addAccepted() {
         open++;
-        makeRoom(most);
-        return open < most;
+        evictUntilBelow(maxOpen);
+        return open < maxOpen;
     }
 
     /** Returns the number of counted sockets. */
@@ -174,6 +174,6 @@
     /** Ends the counting of a socket whose connection has closed. */
     void release() {
         open--;
-        freed.run();
+        releaseAction.run();
     }
 }
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -13,8 +13,8 @@
     interface Listener {
 
         /** Called when a large answer starts; see {@link BackendPool.Receiver#streamStarted}. */
-        BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
-                long length);
+        BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange exchange,
+                String contentType, long length);
 
         /**
          * Returns for how long an answer of unknown length is buffered; see {@link
@@ -78,8 +78,9 @@
     }
 
     @Override
-    public BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length) {
-        return listener.streamStarted(this, from, type, length);
+    public BackendPool.AnswerSink streamStarted(BackendPool.Exchange exchange, String contentType,
+            long length) {
+        return listener.streamStarted(this, exchange, contentType, length);
     }
 
     @Override
