--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -249,7 +249,7 @@
         }
 
         @Override
-        public void verdict(String server, Verdict verdict, long untilUs) {
+        public void reportVerdict(String server, Verdict verdict, long untilUs) {
             if (verdict == Verdict.RESTS) {
                 ejectedUntilUs.put(server, untilUs);
             }
@@ -261,8 +261,8 @@
         }
 
         @Override
-        public void serverBudget(String server, boolean spent) {
-            if (spent) {
+        public void reportServerBudgetUse(String server, boolean granted) {
+            if (granted) {
                 shared.serverSpent(server);
             } else {
                 shared.serverWanting(server);
@@ -270,9 +270,9 @@
         }
 
         @Override
-        public void classBudget(int requestClass, boolean spent) {
+        public void reportClassBudgetUse(int requestClass, boolean granted) {
             String name = settings.classes().get(requestClass).name();
-            if (spent) {
+            if (granted) {
                 shared.classSpent(name);
             } else {
                 shared.classWanting(name);
@@ -308,7 +308,8 @@
             List<Server> servers = backends.values().stream().filter(b -> b.upServer != null)
                     .map(b -> b.upServer).toList();
             newestModule.balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, servers);
-            inMaintenance.forEach(server -> newestModule.balancer.maintenance(clock.nowUs(), server, true));
+            inMaintenance.forEach(
+                    server -> newestModule.balancer.maintenanceChanged(clock.nowUs(), server, true));
             if (shared != null) {
                 loop.execute(shared::renew);
             }
@@ -361,18 +362,19 @@
         @Override
         public void serverBudget(String server, long left, long untilMs) {
             // Only to the newest module: two modules with the same tokens would spend them twice.
-            runEvent(() -> newestModule.balancer.serverBudget(clock.nowUs(), server, left, untilMs * 1000));
+            runEvent(() -> newestModule.balancer.serverBudgetChanged(clock.nowUs(), server, left,
+                    untilMs * 1000));
         }
 
         @Override
         public void classBudget(String name, long left, long untilMs) {
-            runEvent(() -> newestModule.balancer.classBudget(clock.nowUs(), classIndex(name), left,
+            runEvent(() -> newestModule.balancer.classBudgetChanged(clock.nowUs(), classIndex(name), left,
                     untilMs * 1000));
         }
 
         @Override
         public void affinity(String name, Collection<String> servers) {
-            runEvent(() -> newestModule.balancer.affinity(clock.nowUs(), classIndex(name), servers));
+            runEvent(() -> newestModule.balancer.affinityChanged(clock.nowUs(), classIndex(name), servers));
         }
     }
 
@@ -532,7 +534,8 @@
         if (enabled) {
             cancelUnsent(server);
         }
-        runEvent(() -> forEachModule(balancer -> balancer.maintenance(clock.nowUs(), server, enabled)));
+        runEvent(() -> forEachModule(
+                balancer -> balancer.maintenanceChanged(clock.nowUs(), server, enabled)));
     }
 
     /** Cancels an attempt and reports its outcome to the module in a later task of the event loop. */
@@ -589,7 +592,7 @@
             scheduleGuard(pending, nowUs);
         } else {
             inbound.upload().onSpent(() -> runEvent(
-                    () -> pending.module.balancer.bodySpent(clock.nowUs(), pending.id)));
+                    () -> pending.module.balancer.bodyDiscarded(clock.nowUs(), pending.id)));
         }
         runEvent(() -> {
             try {
@@ -649,7 +652,7 @@
         scheduleGuard(pending, nowUs);
         pending.attempts.stream().filter(attempt -> !attempt.ended)
                 .forEach(attempt -> scheduleTimeout(attempt, nowUs, pending.deadlineUs));
-        runEvent(() -> pending.module.balancer.uploaded(clock.nowUs(), pending.id));
+        runEvent(() -> pending.module.balancer.uploadCompleted(clock.nowUs(), pending.id));
     }
 
     /** Schedules the time-out of an attempt. */
@@ -832,7 +835,7 @@
             event.run();
         } catch (RuntimeException e) {
             // The process must keep running for the other requests. Those affected by the exception are
-            // answered by their scheduled guards.
+            // answered as failed shortly before their deadlines.
             LOG.error("failed to handle an event for the decision module", e);
         } finally {
             handlingEvent = false;
