--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -61,8 +61,8 @@
 
     /**
      * A connection is not reused for this long after an answer. A faulty backend may send a second answer
-     * after the first one, which would be taken for the answer to the next request. Such answers came 1 to 18
-     * ms late.
+     * after the first one, which would be taken for the answer to the next request. Such answers came 1 to
+     * 18 ms late.
      */
     static final long REUSE_DELAY_MS = 20;
     /** Retries of a connection attempt that failed because this machine had no descriptor, port or buffer. */
@@ -195,9 +195,7 @@
         return null;
     }
 
-    /**
-     * Returns a connection to the pool after an exchange, or closes it if its backend's are not to be kept.
-     */
+    /** Returns a connection to the pool, or closes it if no idle connections to its backend are kept. */
     private void release(Connection connection) {
         connection.current = null;
         if (!connection.channel.isActive()) {
@@ -368,8 +366,7 @@
             try {
                 message = done ? null : requestSupplier.get();
             } catch (RuntimeException e) {
-                // A request that can't be encoded must not cost the connection, which was only just
-                // established.
+                // An exception here must not leak the connection: it goes back to the pool below.
                 LOG.atError().addKeyValue("backend", target.address).setCause(e)
                         .log("failed to build the request, so it is not sent");
             }
@@ -471,8 +468,7 @@
                 return new Answer(Outcome.OK, sink == null ? ByteBufUtil.getBytes(buffered) : null,
                         contentType(), load, false);
             }
-            // Only this header proves that the request never ran. With any other answer it may have taken
-            // effect.
+            // Only this header proves that the request never ran; otherwise it may have taken effect.
             boolean rejected = (status.code() == 503 || status.code() == 504)
                     && "1".equals(head.headers().get("X-Rejected"));
             return new Answer(rejected ? Outcome.FULL : Outcome.ERROR, null, null, load,
@@ -547,8 +543,7 @@
             if (current == null || answer != null || incoming != null
                     || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                     || Framing.codedOddly(head)) {
-                // An answer with a transfer coding other than chunked is rejected too: it would not be
-                // decoded.
+                // This includes transfer codings other than chunked, which the proxy doesn't decode.
                 reject();
                 return;
             }
@@ -579,8 +574,7 @@
             if (!incoming.isServed()) {
                 incoming.discardedBytes += size;
                 if (incoming.discardedBytes > MAX_BUFFERED_BODY_BYTES) {
-                    // Only the head of such an answer is needed: closing is cheaper than reading a large
-                    // body.
+                    // Only the head is needed, and closing is cheaper than reading a large body.
                     reusable = false;
                     completeAnswer();
                     channel.close();
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -55,8 +55,8 @@
     /** The process may be paused for up to this long between reading its clock and writing to a socket. */
     private static final long MAX_PROCESS_PAUSE_US = 150_000;
     /**
-     * No attempt starts in this last part of a drain's grace period, because the proxy may read the notice of
-     * the drain later than the server counts the period from.
+     * No attempt starts in this last part of a drain's grace period. The period counts from the notice of the
+     * drain, which the proxy may read some time after it was sent.
      */
     private static final long DRAIN_GRACE_MARGIN_US = 100_000;
 
@@ -76,8 +76,8 @@
     }
 
     /**
-     * The client that waits for a request's final answer. Exactly one of the methods that take a {@link
-     * Delivery} is called, and only once.
+     * The client that waits for a request's final answer. Exactly one of the methods that take a
+     * {@link Delivery} is called, and only once.
      */
     interface Client {
         /**
@@ -156,7 +156,7 @@
     /** The newest module and the earlier ones that still have pending requests, oldest first. */
     private final List<DecisionModule> modules = new ArrayList<>();
     private long seed;
-    /** The number of requests that have ended since the newest settings were applied. */
+    /** The number of requests answered under the newest settings. */
     private long requestsEnded;
     /** The number of those requests that were refused or failed. */
     private long requestsFailed;
@@ -176,7 +176,7 @@
     private long deadlineLimitUs = Long.MAX_VALUE;
     /** The latest deadline of all requests received so far. */
     private long latestDeadlineUs;
-    /** True while a module handles an event. */
+    /** True while {@link #runEvent} runs an event. */
     private boolean handlingEvent;
     /** Run when the newest module asks discovery to report changes. */
     private Runnable watchAction = () -> { };
@@ -323,14 +323,14 @@
         return List.copyOf(ejectedUntilUs.keySet());
     }
 
-    /** Returns the number of requests that have ended since the newest settings were applied. */
+    /** Returns the number of requests answered under the newest settings. */
     long requestsEnded() {
         return requestsEnded;
     }
 
     /**
-     * Returns the number of requests, out of {@link #requestsEnded}, that were refused or failed while their
-     * clients were connected.
+     * Returns how many of the requests answered under the newest settings were refused or failed. Requests
+     * whose clients had gone are not counted.
      */
     long requestsFailed() {
         return requestsFailed;
@@ -447,10 +447,9 @@
     /**
      * Applies a list of backends, or changes to it, received from discovery. Times are by the driver's clock.
      *
-     * @param notifiedAtUs the earliest time at which discovery may count this proxy as notified of the
-     *     changes
-     * @param previousListCurrentUs when the previous list was last known to be current; {@link
-     *     Long#MIN_VALUE} if it never was
+     * @param notifiedAtUs the earliest time at which this proxy may count as notified of the changes
+     * @param previousListCurrentUs when the previous list was last known to be current;
+     *     {@link Long#MIN_VALUE} if it never was
      */
     void listChanged(ListKind kind, List<Listing.Entry> entries, long notifiedAtUs,
             long previousListCurrentUs) {
@@ -817,6 +816,7 @@
         };
     }
 
+    /** Removes the request once it has ended, and its module if that was an earlier one's last request. */
     private void endIfDone(PendingRequest pending) {
         if (requests.endIfDone(pending) && --pending.module.pendingRequests == 0
                 && pending.module != newestModule) {
--- a/src/main/java/larkworks/proxy/SendGuard.java
+++ b/src/main/java/larkworks/proxy/SendGuard.java
@@ -10,7 +10,10 @@
  */
 final class SendGuard {
 
-    /** Whether an attempt may be sent, or the reason why not. */
+    /**
+     * Whether an attempt may be sent, or the reason why not, as written to the log. SERVER_BARRED: the server
+     * is in maintenance, or its drain's grace period is over or about to be.
+     */
     enum Decision { SEND, ATTEMPT_ENDED, ANSWERED, SERVER_BARRED, NO_TIME_LEFT, CLIENT_LEFT, MAY_HAVE_RUN }
 
     private SendGuard() { }
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -17,8 +17,8 @@
                 String contentType, long length);
 
         /**
-         * Returns for how long an answer of unknown length is buffered; see {@link
-         * BackendPool.Receiver#maxBufferingUs}.
+         * Returns for how long an answer of unknown length is buffered; see
+         * {@link BackendPool.Receiver#maxBufferingUs}.
          */
         long maxBufferingUs(UpstreamAttempt attempt);
 
