--- a/src/main/java/larkworks/proxy/Adoption.java
+++ b/src/main/java/larkworks/proxy/Adoption.java
@@ -119,7 +119,7 @@
     }
 
     private void send(Channel channel, InetSocketAddress address) throws IOException {
-        byte[] body = JSON.writeValueAsBytes(new Report(version, driver.requestsEnded(),
+        byte[] body = JSON.writeValueAsBytes(new Report(version, driver.requestsAnswered(),
                 driver.requestsFailed(), refused, why, driver.ejectedServers()));
         var call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT,
                 "/registry/v1/rollout/reports/" + name, Unpooled.wrappedBuffer(body));
--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -187,7 +187,7 @@
             }
             connection.readNow();
             if (connection.channel.isActive() && nowNs - connection.idleSinceNs < idleTimeoutUs * 1000) {
-                connection.expiry.cancel(false);
+                connection.expiryTimer.cancel(false);
                 return connection;
             }
             connection.channel.close();
@@ -197,7 +197,7 @@
 
     /** Returns a connection to the pool, or closes it if no idle connections to its backend are kept. */
     private void release(Connection connection) {
-        connection.current = null;
+        connection.currentExchange = null;
         if (!connection.channel.isActive()) {
             return;
         }
@@ -206,7 +206,8 @@
             return;
         }
         connection.idleSinceNs = System.nanoTime();
-        connection.expiry = loop.schedule(() -> closeIdle(connection), idleTimeoutUs, TimeUnit.MICROSECONDS);
+        connection.expiryTimer = loop.schedule(() -> closeIdle(connection), idleTimeoutUs,
+                TimeUnit.MICROSECONDS);
         idleByAddress.computeIfAbsent(connection.address, a -> new ArrayDeque<>()).addLast(connection);
         idleOldestFirst.add(connection);
     }
@@ -295,7 +296,7 @@
         }
 
         /** Called once, when the exchange has ended. */
-        void ended(Answer answer);
+        void exchangeEnded(Answer answer);
     }
 
     /** Takes the body of a large answer, part by part. */
@@ -376,7 +377,7 @@
                 return;
             }
             connection = target;
-            target.current = this;
+            target.currentExchange = this;
             started = true;
             if (message instanceof Upload.Head head) {
                 upload = head.body();
@@ -421,7 +422,7 @@
                 used.reusableFromNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REUSE_DELAY_MS);
                 release(used);
             } else {
-                used.current = null;
+                used.currentExchange = null;
                 used.channel.close();
             }
             end(answer);
@@ -431,7 +432,7 @@
             if (!done) {
                 done = true;
                 detachUpload();
-                receiver.ended(answer);
+                receiver.exchangeEnded(answer);
             }
         }
     }
@@ -488,7 +489,7 @@
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress address;
         private Channel channel;
-        private Exchange current;
+        private Exchange currentExchange;
         /** The answer to the current exchange while it is being received; else null. */
         private IncomingAnswer incoming;
         /** True from the head of an interim (1xx) answer to its end. */
@@ -499,7 +500,7 @@
         private boolean reusable;
         private long idleSinceNs;
         private long reusableFromNs = System.nanoTime();
-        private Future<?> expiry;
+        private Future<?> expiryTimer;
 
         private Connection(InetSocketAddress address) {
             this.address = address;
@@ -540,7 +541,7 @@
 
         /** Handles the head of an answer. */
         private void handleHead(HttpResponse head) {
-            if (current == null || answer != null || incoming != null
+            if (currentExchange == null || answer != null || incoming != null
                     || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                     || Framing.codedOddly(head)) {
                 // This includes transfer codings other than chunked, which the proxy doesn't decode.
@@ -551,13 +552,13 @@
             if (inInterimAnswer) {
                 return;
             }
-            IncomingAnswer started = new IncomingAnswer(head);
-            if (started.isServed() && started.length > MAX_BODY_BYTES) {
-                started.release();
+            IncomingAnswer received = new IncomingAnswer(head);
+            if (received.isServed() && received.length > MAX_BODY_BYTES) {
+                received.release();
                 reject();
                 return;
             }
-            incoming = started;
+            incoming = received;
             reusable = HttpUtil.isKeepAlive(head);
             if (incoming.isServed() && incoming.length > MAX_BUFFERED_BODY_BYTES) {
                 startForwarding();
@@ -587,9 +588,9 @@
                 if (incoming.buffered.readableBytes() > MAX_BUFFERED_BODY_BYTES) {
                     startForwarding();
                 } else if (incoming.length < 0 && incoming.bufferingTimer == null
-                        && current.receiver.maxBufferingUs() >= 0) {
+                        && currentExchange.receiver.maxBufferingUs() >= 0) {
                     incoming.bufferingTimer = loop.schedule(this::forwardAfterBuffering,
-                            current.receiver.maxBufferingUs(), TimeUnit.MICROSECONDS);
+                            currentExchange.receiver.maxBufferingUs(), TimeUnit.MICROSECONDS);
                 }
             }
             if (content instanceof LastHttpContent && incoming != null) {
@@ -609,7 +610,7 @@
 
         /** Starts to forward an answer of unknown length whose buffering time is over. */
         private void forwardAfterBuffering() {
-            if (incoming != null && incoming.sink == null && current != null) {
+            if (incoming != null && incoming.sink == null && currentExchange != null) {
                 startForwarding();
                 if (incoming != null) {
                     incoming.sink.flush();
@@ -621,15 +622,16 @@
          * Passes the buffered part of the answer to the receiver's sink; the rest follows as it is received.
          */
         private void startForwarding() {
-            incoming.sink = current.receiver.streamStarted(current, incoming.contentType(), incoming.length);
+            incoming.sink = currentExchange.receiver.streamStarted(currentExchange, incoming.contentType(),
+                    incoming.length);
             if (incoming.sink == null) {
-                current.cancel();
+                currentExchange.cancel();
                 discardIncoming();
                 return;
             }
-            ByteBuf first = incoming.buffered;
+            ByteBuf bufferedBody = incoming.buffered;
             incoming.buffered = Unpooled.EMPTY_BUFFER;
-            forward(first);
+            forward(bufferedBody);
         }
 
         private void forward(ByteBuf content) {
@@ -657,7 +659,7 @@
                 Answer completed = answer;
                 answer = null;
                 channel.config().setAutoRead(true);
-                current.answerReceived(completed, reusable);
+                currentExchange.answerReceived(completed, reusable);
             } else if (incoming != null && incoming.sink != null) {
                 incoming.sink.flush();
             }
@@ -665,15 +667,15 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (current != null && current.upload != null) {
-                current.upload.regulate();
+            if (currentExchange != null && currentExchange.upload != null) {
+                currentExchange.upload.regulate();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             channelReadComplete(context);
-            if (current != null) {
+            if (currentExchange != null) {
                 connectionLost();
             } else {
                 closeIdle(this);
@@ -686,16 +688,16 @@
          * forwarded.
          */
         private void connectionLost() {
-            if (incoming != null && incoming.sink != null && !current.done) {
+            if (incoming != null && incoming.sink != null && !currentExchange.done) {
                 incoming.sink.abort();
             }
             discardIncoming();
-            current.connectionLost();
+            currentExchange.connectionLost();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (current != null && answer == null) {
+            if (currentExchange != null && answer == null) {
                 // A body without a declared length ends when the connection is closed. After an error it is
                 // incomplete instead, so the loss is reported before the close.
                 connectionLost();
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -157,7 +157,7 @@
     private final List<DecisionModule> modules = new ArrayList<>();
     private long seed;
     /** The number of requests answered under the newest settings. */
-    private long requestsEnded;
+    private long requestsAnswered;
     /** The number of those requests that were refused or failed. */
     private long requestsFailed;
     private final Map<String, Backend> backends = new HashMap<>();
@@ -299,7 +299,7 @@
     void applySettings(Settings newSettings) {
         runEvent(() -> {
             settings = newSettings;
-            requestsEnded = 0;
+            requestsAnswered = 0;
             requestsFailed = 0;
             seed++;
             newestModule = new DecisionModule();
@@ -324,8 +324,8 @@
     }
 
     /** Returns the number of requests answered under the newest settings. */
-    long requestsEnded() {
-        return requestsEnded;
+    long requestsAnswered() {
+        return requestsAnswered;
     }
 
     /**
@@ -393,7 +393,7 @@
         }
 
         @Override
-        public void ended(UpstreamAttempt attempt, Answer answer) {
+        public void attemptEnded(UpstreamAttempt attempt, Answer answer) {
             Driver.this.attemptEnded(attempt, answer);
         }
     };
@@ -787,7 +787,7 @@
                 pending.inbound.callId(), () -> pending.state(nowUs));
         pending.answer(result, nowUs);
         if (pending.module == newestModule && result != Meters.Result.GONE) {
-            requestsEnded++;
+            requestsAnswered++;
             requestsFailed += result == Meters.Result.SERVED ? 0 : 1;
         }
         if (meters != null) {
@@ -992,8 +992,8 @@
     }
 
     private void probe(String server, DecisionModule module) {
-        HealthProbes.Listener listener = (probed, outcome, tookUs, report) -> runEvent(
-                () -> module.balancer.probeResult(clock.nowUs(), probed, outcome, tookUs, report));
+        HealthProbes.Listener listener = (probedServer, outcome, tookUs, report) -> runEvent(
+                () -> module.balancer.probeResult(clock.nowUs(), probedServer, outcome, tookUs, report));
         Backend backend = backends.get(server);
         if (backend == null || inMaintenance.contains(server)) {
             probes.reportNotSent(server, listener);
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -64,7 +64,7 @@
     private final EventLoop loop;
     private final BackendPool pool;
     private final boolean requestLoadReports;
-    private final Set<Probe> pending = new HashSet<>();
+    private final Set<Probe> pendingProbes = new HashSet<>();
 
     /**
      * Creates probes that use the pool's connections.
@@ -91,7 +91,7 @@
      */
     void send(String server, InetSocketAddress address, BooleanSupplier excluded, Listener listener) {
         Probe probe = new Probe(server, listener, clock.nowUs());
-        pending.add(probe);
+        pendingProbes.add(probe);
         probe.timeout = loop.schedule(() -> timedOut(probe), PROBE_TIMEOUT_US, TimeUnit.MICROSECONDS);
         try {
             probe.exchange = pool.startExchange(address,
@@ -108,7 +108,7 @@
      * later task of the event loop.
      */
     void cancelUnsent(String server) {
-        List<Probe> unsent = pending.stream()
+        List<Probe> unsent = pendingProbes.stream()
                 .filter(probe -> probe.server.equals(server) && !probe.exchange.hasStarted()).toList();
         for (Probe probe : unsent) {
             probe.exchange.cancel();
@@ -129,7 +129,7 @@
     }
 
     private void finish(Probe probe, Answer answer) {
-        if (!pending.remove(probe)) {
+        if (!pendingProbes.remove(probe)) {
             return;
         }
         probe.timeout.cancel(false);
--- a/src/main/java/larkworks/proxy/Meters.java
+++ b/src/main/java/larkworks/proxy/Meters.java
@@ -48,15 +48,15 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final List<Map<Result, Timer>> requests;
-    private final Map<String, Map<Outcome, Timer>> attempts = new HashMap<>();
+    private final List<Map<Result, Timer>> requestTimers;
+    private final Map<String, Map<Outcome, Timer>> attemptTimers = new HashMap<>();
     private final Counter retries;
     private final Counter fullLists;
     private final Counter listChanges;
     private final Counter discoveryFailures;
 
     Meters(List<RequestClass> classes) {
-        requests = classes.stream().map(requestClass -> {
+        requestTimers = classes.stream().map(requestClass -> {
             Map<Result, Timer> timers = new EnumMap<>(Result.class);
             for (Result result : Result.values()) {
                 timers.put(result, timer("larkworks.requests", Tags.of("class", requestClass.name(), "result",
@@ -81,7 +81,7 @@
 
     /** Records that a request was answered or that its client has gone. */
     void requestAnswered(int requestClass, Result result, long tookUs) {
-        requests.get(requestClass).get(result).record(tookUs, TimeUnit.MICROSECONDS);
+        requestTimers.get(requestClass).get(result).record(tookUs, TimeUnit.MICROSECONDS);
     }
 
     /** Records the end of an attempt; {@code number} counts a request's attempts from 0. */
@@ -89,7 +89,7 @@
         if (number > 0) {
             retries.increment();
         }
-        attempts.computeIfAbsent(backend, b -> new EnumMap<>(Outcome.class))
+        attemptTimers.computeIfAbsent(backend, b -> new EnumMap<>(Outcome.class))
                 .computeIfAbsent(outcome, o -> timer("larkworks.attempts",
                         Tags.of("backend", backend, "outcome", tagValue(o))))
                 .record(tookUs, TimeUnit.MICROSECONDS);
@@ -101,7 +101,7 @@
      */
     void listReceived(boolean full, Set<String> listedBackends) {
         (full ? fullLists : listChanges).increment();
-        attempts.entrySet().removeIf(backend -> {
+        attemptTimers.entrySet().removeIf(backend -> {
             boolean removed = !listedBackends.contains(backend.getKey());
             if (removed) {
                 backend.getValue().values().forEach(registry::remove);
--- a/src/main/java/larkworks/proxy/Sockets.java
+++ b/src/main/java/larkworks/proxy/Sockets.java
@@ -35,7 +35,7 @@
     private List<BooleanSupplier> evictors = List.of();
     private Runnable releaseAction = () -> { };
     /** The number of counted sockets. Changed on the loop only; read by the metrics thread as well. */
-    private volatile int open;
+    private volatile int openCount;
 
     /**
      * Creates a count of sockets with a limit.
@@ -85,7 +85,7 @@
 
     /** Closes connections until fewer than {@code bound} are open or none is left to close. */
     private void evictUntilBelow(int bound) {
-        while (open >= bound && evictOne()) {
+        while (openCount >= bound && evictOne()) {
             // Each iteration closes one connection, and its close calls release().
         }
     }
@@ -98,10 +98,10 @@
     /** Counts a socket for a new connection to a backend; returns false if none is available. */
     boolean tryAcquire() {
         evictUntilBelow(maxOpenForBackends);
-        if (open >= maxOpenForBackends) {
+        if (openCount >= maxOpenForBackends) {
             return false;
         }
-        open++;
+        openCount++;
         return true;
     }
 
@@ -156,24 +156,24 @@
      * false if no further connection should be accepted for now.
      */
     boolean addAccepted() {
-        open++;
+        openCount++;
         evictUntilBelow(maxOpen);
-        return open < maxOpen;
+        return openCount < maxOpen;
     }
 
     /** Returns the number of counted sockets. */
     int openCount() {
-        return open;
+        return openCount;
     }
 
     /** Returns whether the count of sockets is consistent, that is, not negative. */
     boolean isConsistent() {
-        return open >= 0;
+        return openCount >= 0;
     }
 
     /** Ends the counting of a socket whose connection has closed. */
     void release() {
-        open--;
+        openCount--;
         releaseAction.run();
     }
 }
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -23,7 +23,7 @@
         long maxBufferingUs(UpstreamAttempt attempt);
 
         /** Called when the attempt's exchange has ended. */
-        void ended(UpstreamAttempt attempt, Answer answer);
+        void attemptEnded(UpstreamAttempt attempt, Answer answer);
     }
 
     final PendingRequest request;
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void ended(Answer answer) {
-        listener.ended(this, answer);
+    public void exchangeEnded(Answer answer) {
+        listener.attemptEnded(this, answer);
     }
 }
