--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -237,7 +237,7 @@
     }
 
     /** Closes the connection that has been idle for longest; returns false if no connection is idle. */
-    boolean evict() {
+    boolean evictLongestIdle() {
         if (idleOldestFirst.isEmpty()) {
             return false;
         }
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -91,7 +91,7 @@
             return true;
         }
 
-        void served(byte[] body, String contentType, Delivery delivery);
+        void sendAnswer(byte[] body, String contentType, Delivery delivery);
 
         /**
          * Starts a large answer whose body follows in parts.
@@ -99,12 +99,12 @@
          * @param length the length of the body in bytes; negative if the backend did not declare it
          * @return the sink that takes the body
          */
-        BackendPool.AnswerSink streamStarted(BackendPool.Exchange exchange, String contentType, long length,
+        BackendPool.AnswerSink startStream(BackendPool.Exchange exchange, String contentType, long length,
                 Delivery delivery);
 
-        void refused(long retryAfterUs, Delivery delivery);
+        void sendRefusal(long retryAfterUs, Delivery delivery);
 
-        void failed(Delivery delivery);
+        void sendFailure(Delivery delivery);
     }
 
     /**
@@ -680,7 +680,7 @@
         if (!pending.answered()) {
             boolean noAttemptPending = pending.attemptsOut == 0;
             recordResult(pending, Meters.Result.FAILED);
-            pending.client.failed(delivery(pending));
+            pending.client.sendFailure(delivery(pending));
             if (noAttemptPending) {
                 // Otherwise the module might still send it, and would wait forever for that attempt's end.
                 runEvent(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
@@ -709,7 +709,7 @@
         long nowUs = clock.nowUs();
         runEvent(() -> pending.module.balancer.streamStarted(nowUs, pending.id, attempt.number,
                 attempt.server, nowUs - processableSinceUs(attempt)));
-        return pending.client.streamStarted(exchange, contentType, length, delivery(pending));
+        return pending.client.startStream(exchange, contentType, length, delivery(pending));
     }
 
     /** Returns when the server could start to process the attempt: when the request's last byte was sent. */
@@ -740,7 +740,7 @@
             pending.attemptsOut--;
             if (answer.outcome() == Outcome.OK && !pending.answered()) {
                 recordResult(pending, Meters.Result.SERVED);
-                pending.client.served(answer.body(), answer.type(), delivery(pending));
+                pending.client.sendAnswer(answer.body(), answer.type(), delivery(pending));
             }
             long nowUs = clock.nowUs();
             try {
@@ -764,7 +764,7 @@
     private void failMalformed(long nowUs, PendingRequest pending) {
         if (!pending.answered()) {
             recordResult(pending, Meters.Result.FAILED);
-            pending.client.failed(delivery(pending));
+            pending.client.sendFailure(delivery(pending));
             pending.module.balancer.clientGone(nowUs, pending.id);
         }
     }
@@ -969,7 +969,7 @@
                         .addKeyValue("state", pending.state(clock.nowUs())).log("request refused");
             }
             recordResult(pending, Meters.Result.REFUSED);
-            pending.client.refused(retryAfterUs, delivery(pending));
+            pending.client.sendRefusal(retryAfterUs, delivery(pending));
         }
     }
 
@@ -977,7 +977,7 @@
         PendingRequest pending = requests.get(request);
         if (pending != null && !pending.answered()) {
             recordResult(pending, Meters.Result.FAILED);
-            pending.client.failed(delivery(pending));
+            pending.client.sendFailure(delivery(pending));
         }
     }
 
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -1019,23 +1019,23 @@
         }
 
         @Override
-        public void served(byte[] body, String type, Driver.Delivery delivery) {
+        public void sendAnswer(byte[] body, String type, Driver.Delivery delivery) {
             connection.answer(HttpResponseStatus.OK, body, type, -1, delivery);
         }
 
         @Override
-        public BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length,
+        public BackendPool.AnswerSink startStream(BackendPool.Exchange from, String type, long length,
                 Driver.Delivery delivery) {
             return connection.begins(from, type, length, delivery);
         }
 
         @Override
-        public void refused(long retryAfterUs, Driver.Delivery delivery) {
+        public void sendRefusal(long retryAfterUs, Driver.Delivery delivery) {
             connection.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, null, null, retryAfterUs, delivery);
         }
 
         @Override
-        public void failed(Driver.Delivery delivery) {
+        public void sendFailure(Driver.Delivery delivery) {
             connection.answer(HttpResponseStatus.BAD_GATEWAY, null, null, -1, delivery);
         }
     }
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -102,7 +102,8 @@
             driver.invariants().onViolation(meters::invariantViolated);
             frontend.onAcceptFailure(meters::acceptFailed);
         }
-        sockets.setEvictors(frontend::evictLingering, frontend::evictStranger, pool::evict, frontend::evict);
+        sockets.setEvictors(frontend::evictLingering, frontend::evictStranger, pool::evictLongestIdle,
+                frontend::evict);
     }
 
     /**
--- a/src/main/java/larkworks/proxy/Meters.java
+++ b/src/main/java/larkworks/proxy/Meters.java
@@ -99,8 +99,8 @@
      * Records that a list was received. Removes the meters of backends that are no longer listed, as their
      * number would otherwise grow without limit.
      */
-    void listReceived(boolean full, Set<String> listedBackends) {
-        (full ? fullLists : listChanges).increment();
+    void listReceived(boolean isFullList, Set<String> listedBackends) {
+        (isFullList ? fullLists : listChanges).increment();
         attemptTimers.entrySet().removeIf(backend -> {
             boolean removed = !listedBackends.contains(backend.getKey());
             if (removed) {
--- a/src/main/java/larkworks/proxy/Warmup.java
+++ b/src/main/java/larkworks/proxy/Warmup.java
@@ -55,7 +55,7 @@
     private void end() {
         if (left >= 0) {
             left = -1;
-            while (pool.evict()) {
+            while (pool.evictLongestIdle()) {
                 // Closes one after the other.
             }
             done.run();
@@ -68,25 +68,25 @@
     }
 
     @Override
-    public void served(byte[] body, String type, Driver.Delivery delivery) {
+    public void sendAnswer(byte[] body, String type, Driver.Delivery delivery) {
         delivery.ended(true);
         loop.execute(this::next);
     }
 
     @Override
-    public BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length,
+    public BackendPool.AnswerSink startStream(BackendPool.Exchange from, String type, long length,
             Driver.Delivery delivery) {
         throw new IllegalStateException("the answer of a warm-up is small");
     }
 
     @Override
-    public void refused(long retryAfterUs, Driver.Delivery delivery) {
+    public void sendRefusal(long retryAfterUs, Driver.Delivery delivery) {
         delivery.ended(true);
         loop.execute(this::next);
     }
 
     @Override
-    public void failed(Driver.Delivery delivery) {
+    public void sendFailure(Driver.Delivery delivery) {
         delivery.ended(true);
         loop.execute(this::next);
     }
--- a/src/test/java/larkworks/proxy/BackendPoolTest.java
+++ b/src/test/java/larkworks/proxy/BackendPoolTest.java
@@ -47,7 +47,7 @@
 
     private BackendPool pool(Sockets sockets) {
         BackendPool pool = new BackendPool(group.next(), sockets, 5_000_000, 10_000_000);
-        sockets.setEvictors(pool::evict, () -> false);
+        sockets.setEvictors(pool::evictLongestIdle, () -> false);
         return pool;
     }
 
--- a/src/test/java/larkworks/proxy/HealthProbesTest.java
+++ b/src/test/java/larkworks/proxy/HealthProbesTest.java
@@ -36,7 +36,7 @@
         backend = new Peer();
         Sockets sockets = new Sockets(64, 0);
         BackendPool pool = new BackendPool(loop, sockets, 5_000_000, 10_000_000);
-        sockets.setEvictors(pool::evict);
+        sockets.setEvictors(pool::evictLongestIdle);
         probes = new HealthProbes(new Clock(), loop, pool, true);
     }
 
--- a/src/test/java/larkworks/proxy/PendingRequestsTest.java
+++ b/src/test/java/larkworks/proxy/PendingRequestsTest.java
@@ -44,23 +44,23 @@
         }
 
         @Override
-        public void served(byte[] body, String type, Driver.Delivery delivery) {
+        public void sendAnswer(byte[] body, String type, Driver.Delivery delivery) {
             add("served", delivery);
         }
 
         @Override
-        public BackendPool.AnswerSink streamStarted(BackendPool.Exchange from, String type, long length,
+        public BackendPool.AnswerSink startStream(BackendPool.Exchange from, String type, long length,
                 Driver.Delivery delivery) {
             throw new AssertionError("no answer here is large");
         }
 
         @Override
-        public void refused(long retryAfterUs, Driver.Delivery delivery) {
+        public void sendRefusal(long retryAfterUs, Driver.Delivery delivery) {
             add("refused", delivery);
         }
 
         @Override
-        public void failed(Driver.Delivery delivery) {
+        public void sendFailure(Driver.Delivery delivery) {
             add("failed", delivery);
         }
     }
@@ -84,7 +84,7 @@
         Config config = Config.read(file.toString(), Map.of(), Map.of());
         sockets = new Sockets(64, 0);
         BackendPool pool = new BackendPool(loop, sockets, config.connectTimeoutUs(), config.keepAliveUs());
-        sockets.setEvictors(pool::evict);
+        sockets.setEvictors(pool::evictLongestIdle);
         driver = new Driver(config, clock, loop, pool);
     }
 
