--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -118,7 +118,7 @@
             connect(address, exchange);
         } else {
             // This proxy has no descriptor left, which is no failure of the backend.
-            exchange.end(Answer.of(Outcome.NOT_SENT));
+            exchange.end(AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
@@ -136,7 +136,7 @@
             } else if (connected == null || SystemError.of(connected.cause()).isLocal()) {
                 retryAfterLocalFailure(address, exchange);
             } else {
-                exchange.end(Answer.of(Outcome.CONNECT_FAILED));
+                exchange.end(AttemptResult.of(Outcome.CONNECT_FAILED));
             }
         });
         exchange.connection = connection.channel == null ? null : connection;
@@ -153,7 +153,7 @@
             return;
         }
         if (exchange.localFailures == MAX_LOCAL_RETRIES) {
-            exchange.end(Answer.of(Outcome.NOT_SENT));
+            exchange.end(AttemptResult.of(Outcome.NOT_SENT));
             return;
         }
         loop.schedule(() -> {
@@ -296,7 +296,7 @@
         }
 
         /** Called once, when the exchange has ended. */
-        void exchangeEnded(Answer answer);
+        void exchangeEnded(AttemptResult answer);
     }
 
     /** Takes the body of a large answer, part by part. */
@@ -373,13 +373,13 @@
             }
             if (message == null) {
                 release(target);
-                end(Answer.of(Outcome.NOT_SENT));
+                end(AttemptResult.of(Outcome.NOT_SENT));
                 return;
             }
             connection = target;
             target.currentExchange = this;
             started = true;
-            if (message instanceof Upload.Head head) {
+            if (message instanceof Upload.RequestHead head) {
                 upload = head.body();
                 target.channel.write(head);
                 upload.attach(target.channel, sent -> writeEnded(target, sent.isSuccess()));
@@ -413,10 +413,10 @@
          * before it has received its last byte, so until that is written the request can't have run.
          */
         private void connectionLost() {
-            end(Answer.of(fullyWritten ? Outcome.RESET : Outcome.CONNECT_FAILED));
+            end(AttemptResult.of(fullyWritten ? Outcome.RESET : Outcome.CONNECT_FAILED));
         }
 
-        private void answerReceived(Answer answer, boolean reusable) {
+        private void answerReceived(AttemptResult answer, boolean reusable) {
             Connection used = connection;
             if (reusable && fullyWritten) {
                 used.reusableFromNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REUSE_DELAY_MS);
@@ -428,7 +428,7 @@
             end(answer);
         }
 
-        private void end(Answer answer) {
+        private void end(AttemptResult answer) {
             if (!done) {
                 done = true;
                 detachUpload();
@@ -451,7 +451,7 @@
 
         IncomingAnswer(HttpResponse head) {
             this.head = head;
-            this.length = Framing.length(head);
+            this.length = HttpFraming.bodyLength(head);
         }
 
         boolean isServed() {
@@ -462,17 +462,17 @@
             return head.headers().get(HttpHeaderNames.CONTENT_TYPE);
         }
 
-        Answer answer() {
+        AttemptResult answer() {
             HttpResponseStatus status = head.status();
             LoadReport load = parseLoadReport(head.headers().get("X-Load-Report"));
             if (isServed()) {
-                return new Answer(Outcome.OK, sink == null ? ByteBufUtil.getBytes(buffered) : null,
+                return new AttemptResult(Outcome.OK, sink == null ? ByteBufUtil.getBytes(buffered) : null,
                         contentType(), load, false);
             }
             // Only this header proves that the request never ran; otherwise it may have taken effect.
             boolean rejected = (status.code() == 503 || status.code() == 504)
                     && "1".equals(head.headers().get("X-Rejected"));
-            return new Answer(rejected ? Outcome.FULL : Outcome.ERROR, null, null, load,
+            return new AttemptResult(rejected ? Outcome.FULL : Outcome.ERROR, null, null, load,
                     status.equals(HttpResponseStatus.BAD_REQUEST));
         }
 
@@ -495,7 +495,7 @@
         /** True from the head of an interim (1xx) answer to its end. */
         private boolean inInterimAnswer;
         /** The complete answer to the current exchange, until the current read is complete; else null. */
-        private Answer answer;
+        private AttemptResult answer;
         /** Whether the connection can carry another exchange after the current one. */
         private boolean reusable;
         private long idleSinceNs;
@@ -543,7 +543,7 @@
         private void handleHead(HttpResponse head) {
             if (currentExchange == null || answer != null || incoming != null
                     || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
-                    || Framing.codedOddly(head)) {
+                    || HttpFraming.hasUnsupportedTransferCoding(head)) {
                 // This includes transfer codings other than chunked, which the proxy doesn't decode.
                 reject();
                 return;
@@ -656,7 +656,7 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             if (answer != null) {
-                Answer completed = answer;
+                AttemptResult completed = answer;
                 answer = null;
                 channel.config().setAutoRead(true);
                 currentExchange.answerReceived(completed, reusable);
@@ -668,7 +668,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (currentExchange != null && currentExchange.upload != null) {
-                currentExchange.upload.regulate();
+                currentExchange.upload.updateReading();
             }
         }
 
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -393,7 +393,7 @@
         }
 
         @Override
-        public void attemptEnded(UpstreamAttempt attempt, Answer answer) {
+        public void attemptEnded(UpstreamAttempt attempt, AttemptResult answer) {
             Driver.this.attemptEnded(attempt, answer);
         }
     };
@@ -418,7 +418,7 @@
 
     /** Returns the requests past their deadlines whose clients still wait; there must never be any. */
     List<PendingRequest> requestsPastDeadline() {
-        return requests.overdue();
+        return requests.pastDeadline();
     }
 
     /** Logs all requests that have not ended, at level debug. */
@@ -540,7 +540,7 @@
     /** Cancels an attempt and reports its outcome to the module in a later task of the event loop. */
     private void cancelAndReport(UpstreamAttempt attempt, Outcome outcome) {
         attempt.cancelExchange();
-        loop.execute(() -> attemptEnded(attempt, Answer.of(outcome)));
+        loop.execute(() -> attemptEnded(attempt, AttemptResult.of(outcome)));
     }
 
     /** Tells the pool to keep no connections to backends in maintenance. */
@@ -590,14 +590,14 @@
         if (inbound.upload() == null) {
             scheduleGuard(pending, nowUs);
         } else {
-            inbound.upload().onSpent(() -> runEvent(
+            inbound.upload().onNotRepeatable(() -> runEvent(
                     () -> pending.module.balancer.bodyDiscarded(clock.nowUs(), pending.id)));
         }
         runEvent(() -> {
             try {
                 pending.module.balancer.request(clock.nowUs(), new Request(pending.id, inbound.requestClass(),
                         inbound.tenant(), Math.max(0, deadlineUs - clock.nowUs()), inbound.workUs(),
-                        inbound.clientRetry(), pending.uploading()));
+                        inbound.clientRetry(), pending.isUploading()));
             } catch (RuntimeException e) {
                 failAfterException(pending, e);
             }
@@ -636,17 +636,17 @@
 
     /** Schedules the answer that is given if the request has none shortly before its deadline. */
     private void scheduleGuard(PendingRequest pending, long nowUs) {
-        pending.guard = loop.schedule(() -> failBeforeDeadline(pending),
+        pending.failureTimer = loop.schedule(() -> failBeforeDeadline(pending),
                 Math.max(0, pending.deadlineUs - DEADLINE_MARGIN_US - nowUs), TimeUnit.MICROSECONDS);
     }
 
     /** Handles the last byte of an upload: the request's deadline and time-outs count from now on. */
     void uploadCompleted(PendingRequest pending) {
-        if (pending.answered() || !pending.uploading()) {
+        if (pending.isAnswered() || !pending.isUploading()) {
             return;
         }
         long nowUs = clock.nowUs();
-        pending.uploadedUs = nowUs;
+        pending.uploadCompletedUs = nowUs;
         pending.deadlineUs = deadlineUs(nowUs, pending.inbound);
         scheduleGuard(pending, nowUs);
         pending.attempts.stream().filter(attempt -> !attempt.ended)
@@ -662,10 +662,10 @@
 
     /** Handles the close of the client's connection. */
     void clientGone(PendingRequest pending) {
-        if (pending.answering != null && !pending.answering.ended) {
-            pending.answering.cancelExchange();
-            attemptEnded(pending.answering, Answer.of(Outcome.CANCELLED));
-        } else if (!pending.answered()) {
+        if (pending.answeringAttempt != null && !pending.answeringAttempt.ended) {
+            pending.answeringAttempt.cancelExchange();
+            attemptEnded(pending.answeringAttempt, AttemptResult.of(Outcome.CANCELLED));
+        } else if (!pending.isAnswered()) {
             recordResult(pending, Meters.Result.GONE);
             runEvent(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
             endIfDone(pending);
@@ -677,8 +677,8 @@
      * its attempts are still passed to the module.
      */
     private void failBeforeDeadline(PendingRequest pending) {
-        if (!pending.answered()) {
-            boolean noAttemptPending = pending.attemptsOut == 0;
+        if (!pending.isAnswered()) {
+            boolean noAttemptPending = pending.openAttempts == 0;
             recordResult(pending, Meters.Result.FAILED);
             pending.client.sendFailure(delivery(pending));
             if (noAttemptPending) {
@@ -697,11 +697,11 @@
     private BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange exchange,
             String contentType, long length) {
         PendingRequest pending = attempt.request;
-        if (attempt.ended || pending.answered()) {
-            attemptEnded(attempt, Answer.of(Outcome.CANCELLED));
+        if (attempt.ended || pending.isAnswered()) {
+            attemptEnded(attempt, AttemptResult.of(Outcome.CANCELLED));
             return null;
         }
-        pending.answering = attempt;
+        pending.answeringAttempt = attempt;
         recordResult(pending, Meters.Result.SERVED);
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
@@ -714,11 +714,11 @@
 
     /** Returns when the server could start to process the attempt: when the request's last byte was sent. */
     private static long processableSinceUs(UpstreamAttempt attempt) {
-        return attempt.request.uploading() ? attempt.sentAtUs
-                : Math.max(attempt.sentAtUs, attempt.request.uploadedUs);
+        return attempt.request.isUploading() ? attempt.sentAtUs
+                : Math.max(attempt.sentAtUs, attempt.request.uploadCompletedUs);
     }
 
-    private void attemptEnded(UpstreamAttempt attempt, Answer answer) {
+    private void attemptEnded(UpstreamAttempt attempt, AttemptResult answer) {
         if (attempt.ended) {
             return;
         }
@@ -737,19 +737,19 @@
                     .addKeyValue("outcome", answer.outcome()).log("attempt ended");
         }
         runEvent(() -> {
-            pending.attemptsOut--;
-            if (answer.outcome() == Outcome.OK && !pending.answered()) {
+            pending.openAttempts--;
+            if (answer.outcome() == Outcome.OK && !pending.isAnswered()) {
                 recordResult(pending, Meters.Result.SERVED);
-                pending.client.sendAnswer(answer.body(), answer.type(), delivery(pending));
+                pending.client.sendAnswer(answer.body(), answer.contentType(), delivery(pending));
             }
             long nowUs = clock.nowUs();
             try {
-                if (answer.improper()) {
+                if (answer.invalidRequest()) {
                     failMalformed(nowUs, pending);
                 }
                 pending.module.balancer.outcome(nowUs, pending.id, attempt.number, attempt.server,
-                        answer.improper() ? Outcome.CANCELLED : answer.outcome(),
-                        nowUs - processableSinceUs(attempt), pending.answered(), answer.report());
+                        answer.invalidRequest() ? Outcome.CANCELLED : answer.outcome(),
+                        nowUs - processableSinceUs(attempt), pending.isAnswered(), answer.report());
             } catch (RuntimeException e) {
                 failAfterException(pending, e);
             }
@@ -762,7 +762,7 @@
      * the request is not retried.
      */
     private void failMalformed(long nowUs, PendingRequest pending) {
-        if (!pending.answered()) {
+        if (!pending.isAnswered()) {
             recordResult(pending, Meters.Result.FAILED);
             pending.client.sendFailure(delivery(pending));
             pending.module.balancer.clientGone(nowUs, pending.id);
@@ -781,11 +781,11 @@
      */
     private void recordResult(PendingRequest pending, Meters.Result result) {
         long nowUs = clock.nowUs();
-        invariants.check(result == Meters.Result.GONE || pending.uploading()
-                || nowUs <= Math.max(pending.deadlineUs, pending.readUs) + ANSWER_SLACK_US,
+        invariants.check(result == Meters.Result.GONE || pending.isUploading()
+                || nowUs <= Math.max(pending.deadlineUs, pending.dispatchedUs) + ANSWER_SLACK_US,
                 Rule.ANSWERED_IN_TIME,
-                pending.inbound.callId(), () -> pending.state(nowUs));
-        pending.answer(result, nowUs);
+                pending.inbound.callId(), () -> pending.describe(nowUs));
+        pending.recordAnswer(result, nowUs);
         if (pending.module == newestModule && result != Meters.Result.GONE) {
             requestsAnswered++;
             requestsFailed += result == Meters.Result.SERVED ? 0 : 1;
@@ -794,13 +794,13 @@
             meters.requestAnswered(pending.inbound.requestClass(), result,
                     Math.max(0, clock.nowUs() - pending.inbound.receivedAtUs()));
         }
-        if (pending.guard != null) {
-            pending.guard.cancel(false);
+        if (pending.failureTimer != null) {
+            pending.failureTimer.cancel(false);
         }
-        if (pending.uploading()) {
+        if (pending.isUploading()) {
             // The upload will never be complete, and its attempts have no time-out that would end them.
             pending.attempts.stream()
-                    .filter(attempt -> !attempt.ended && attempt != pending.answering)
+                    .filter(attempt -> !attempt.ended && attempt != pending.answeringAttempt)
                     .forEach(attempt -> cancelAndReport(attempt, Outcome.CANCELLED));
         }
     }
@@ -811,14 +811,14 @@
             if (!written && LOG.isDebugEnabled()) {
                 LOG.atDebug().addKeyValue("request", pending.inbound.callId()).log("answer not written");
             }
-            pending.deliver();
+            pending.markDelivered();
             endIfDone(pending);
         };
     }
 
     /** Removes the request once it has ended, and its module if that was an earlier one's last request. */
     private void endIfDone(PendingRequest pending) {
-        if (requests.endIfDone(pending) && --pending.module.pendingRequests == 0
+        if (requests.removeIfEnded(pending) && --pending.module.pendingRequests == 0
                 && pending.module != newestModule) {
             modules.remove(pending.module);
         }
@@ -853,17 +853,17 @@
         UpstreamAttempt attempt = new UpstreamAttempt(pending, pending.attempts.size(), server, nowUs,
                 attemptListener);
         pending.attempts.add(attempt);
-        pending.attemptsOut++;
+        pending.openAttempts++;
         long timeoutAtUs = timeoutUs > 0 ? Math.min(pending.deadlineUs, nowUs + timeoutUs)
                 : pending.deadlineUs;
         Backend backend = backends.get(server);
-        if (backend == null || inMaintenance.contains(server) || pending.answered()
-                || timeoutAtUs <= nowUs && !pending.uploading()
+        if (backend == null || inMaintenance.contains(server) || pending.isAnswered()
+                || timeoutAtUs <= nowUs && !pending.isUploading()
                 || pending.attempts.size() > settings.limits().maxAttempts()) {
-            attemptEnded(attempt, Answer.of(Outcome.NOT_SENT));
+            attemptEnded(attempt, AttemptResult.of(Outcome.NOT_SENT));
             return;
         }
-        if (pending.uploading()) {
+        if (pending.isUploading()) {
             attempt.timeoutAtUs = Long.MAX_VALUE;
         } else {
             scheduleTimeout(attempt, nowUs, timeoutAtUs);
@@ -876,7 +876,7 @@
             // attempt would never end.
             LOG.atError().addKeyValue("request", pending.inbound.callId()).addKeyValue("backend", server)
                     .setCause(e).log("attempt not begun");
-            attemptEnded(attempt, Answer.of(Outcome.NOT_SENT));
+            attemptEnded(attempt, AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
@@ -884,7 +884,8 @@
         if (!attempt.ended) {
             attempt.cancelExchange();
             // While the connection is being established, no byte of the request can have been sent.
-            attemptEnded(attempt, Answer.of(attempt.hasStarted() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
+            attemptEnded(attempt,
+                    AttemptResult.of(attempt.hasStarted() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
         }
     }
 
@@ -896,7 +897,7 @@
     private HttpRequest buildRequest(UpstreamAttempt attempt, Backend backend) {
         long nowUs = clock.nowUs();
         Inbound inbound = attempt.request.inbound;
-        long leftMs = attempt.request.uploading() ? inbound.timeLeftUs() / 1000
+        long leftMs = attempt.request.isUploading() ? inbound.timeLeftUs() / 1000
                 : (attempt.timeoutAtUs - nowUs) / 1000;
         RequestClass requestClass = settings.classes().get(inbound.requestClass());
         SendGuard.Decision decision = SendGuard.decide(attempt, requestClass,
@@ -913,7 +914,8 @@
         HttpRequest message = inbound.upload() == null
                 ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, inbound.method(), inbound.uri(),
                         Unpooled.wrappedBuffer(inbound.body()))
-                : new Upload.Head(HttpVersion.HTTP_1_1, inbound.method(), inbound.uri(), inbound.upload());
+                : new Upload.RequestHead(HttpVersion.HTTP_1_1, inbound.method(), inbound.uri(),
+                        inbound.upload());
         HttpHeaders headers = message.headers();
         headers.set(HttpHeaderNames.HOST, Addresses.text(backend.address));
         headers.set("X-Call-Id", inbound.callId());
@@ -926,7 +928,7 @@
             headers.set(HttpHeaderNames.CONTENT_TYPE, inbound.contentType());
         }
         if (inbound.upload() != null) {
-            inbound.upload().describe(headers);
+            inbound.upload().setLengthHeader(headers);
         } else if (inbound.body().length > 0 || !inbound.method().equals(HttpMethod.GET)) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, inbound.body().length);
         }
@@ -939,16 +941,16 @@
         PendingRequest pending = attempt.request;
         long nowUs = clock.nowUs();
         String id = pending.inbound.callId();
-        Supplier<String> state = () -> pending.state(nowUs);
-        invariants.check(!pending.answered() && pending.client.isOpen(), Rule.ATTEMPT_FOR_WAITING_CLIENT, id,
-                state);
+        Supplier<String> state = () -> pending.describe(nowUs);
+        invariants.check(!pending.isAnswered() && pending.client.isOpen(), Rule.ATTEMPT_FOR_WAITING_CLIENT,
+                id, state);
         invariants.check(backend.status == ServerStatus.UP
                 || nowUs <= backend.downSinceUs + settings.rules().drainGraceUs(),
                 Rule.ATTEMPT_WITHIN_GRACE, id, state);
         invariants.check(SendGuard.isSafeToRepeat(attempt, requestClass, nowUs - MAX_PROCESS_PAUSE_US),
                 Rule.REPEATED_SAFELY, id, state);
         invariants.check(
-                pending.uploading() || leftMs * 1000 <= pending.deadlineUs - nowUs + MAX_PROCESS_PAUSE_US,
+                pending.isUploading() || leftMs * 1000 <= pending.deadlineUs - nowUs + MAX_PROCESS_PAUSE_US,
                 Rule.DEADLINE_PASSED_ON, id, state);
     }
 
@@ -963,10 +965,10 @@
 
     private void refuse(String request, long retryAfterUs) {
         PendingRequest pending = requests.get(request);
-        if (pending != null && !pending.answered()) {
+        if (pending != null && !pending.isAnswered()) {
             if (LOG.isDebugEnabled()) {
                 LOG.atDebug().addKeyValue("request", pending.inbound.callId())
-                        .addKeyValue("state", pending.state(clock.nowUs())).log("request refused");
+                        .addKeyValue("state", pending.describe(clock.nowUs())).log("request refused");
             }
             recordResult(pending, Meters.Result.REFUSED);
             pending.client.sendRefusal(retryAfterUs, delivery(pending));
@@ -975,7 +977,7 @@
 
     private void fail(String request) {
         PendingRequest pending = requests.get(request);
-        if (pending != null && !pending.answered()) {
+        if (pending != null && !pending.isAnswered()) {
             recordResult(pending, Meters.Result.FAILED);
             pending.client.sendFailure(delivery(pending));
         }
@@ -988,7 +990,7 @@
         }
         UpstreamAttempt attempt = pending.attempts.get(number);
         attempt.cancelExchange();
-        attemptEnded(attempt, Answer.of(Outcome.CANCELLED));
+        attemptEnded(attempt, AttemptResult.of(Outcome.CANCELLED));
     }
 
     private void probe(String server, DecisionModule module) {
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -99,7 +99,7 @@
                     answer -> finish(probe, answer));
         } catch (RuntimeException e) {
             LOG.atError().addKeyValue("backend", server).setCause(e).log("failed to start the probe");
-            finish(probe, Answer.of(Outcome.NOT_SENT));
+            finish(probe, AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
@@ -112,13 +112,13 @@
                 .filter(probe -> probe.server.equals(server) && !probe.exchange.hasStarted()).toList();
         for (Probe probe : unsent) {
             probe.exchange.cancel();
-            loop.execute(() -> finish(probe, Answer.of(Outcome.NOT_SENT)));
+            loop.execute(() -> finish(probe, AttemptResult.of(Outcome.NOT_SENT)));
         }
     }
 
     private void timedOut(Probe probe) {
         probe.exchange.cancel();
-        finish(probe, Answer.of(Outcome.TIMEOUT));
+        finish(probe, AttemptResult.of(Outcome.TIMEOUT));
     }
 
     private FullHttpRequest buildRequest(InetSocketAddress address) {
@@ -128,7 +128,7 @@
         return message;
     }
 
-    private void finish(Probe probe, Answer answer) {
+    private void finish(Probe probe, AttemptResult answer) {
         if (!pendingProbes.remove(probe)) {
             return;
         }
@@ -140,7 +140,7 @@
     /**
      * Returns the load from the answer's header or, if the header is missing, from its body; null if unknown.
      */
-    private LoadReport loadReport(Answer answer) {
+    private LoadReport loadReport(AttemptResult answer) {
         if (answer.report() != null || !requestLoadReports) {
             return answer.report();
         }
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -102,8 +102,8 @@
             driver.invariants().onViolation(meters::invariantViolated);
             frontend.onAcceptFailure(meters::acceptFailed);
         }
-        sockets.setEvictors(frontend::evictLingering, frontend::evictStranger, pool::evictLongestIdle,
-                frontend::evict);
+        sockets.setEvictors(frontend::evictLingering, frontend::evictUnproven, pool::evictLongestIdle,
+                frontend::evictIdle);
     }
 
     /**
@@ -185,7 +185,7 @@
             }
         }).sync();
         if (shared) {
-            Admin operators = new Admin(loop, frontend::serves, maintenance, tables(), meters);
+            Admin operators = new Admin(loop, frontend::isReady, maintenance, tables(), meters);
             admin = listen(() -> operators.listen(config.admin()), config.admin());
         }
         // Warming up at the shared address would reach the other process, and backends through it.
@@ -258,7 +258,7 @@
 
     /** The list known from the configuration may be old, so a new one is waited for, but not for long. */
     private void serveOnceListed(long untilNanos) {
-        if (frontend.drains()) {
+        if (frontend.isDraining()) {
             // Told to end during its start: another process serves at the address, or will.
             return;
         }
@@ -281,7 +281,7 @@
     }
 
     private void ready() {
-        frontend.ready();
+        frontend.setWarmedUp();
         if (adoption != null) {
             adoption.start();
         }
@@ -306,8 +306,8 @@
 
     /** What is held for clients now, for tests that show it given back; to be asked on the loop. */
     Held held() {
-        return new Held(!driver.isIdle(), driver.requestsPastDeadline().size(), frontend.heldBytes(),
-                frontend.connections(), driver.invariants().violationCount());
+        return new Held(!driver.isIdle(), driver.requestsPastDeadline().size(), frontend.bufferedBytes(),
+                frontend.openConnections(), driver.invariants().violationCount());
     }
 
     /** The one loop, for tests that make several things happen in one turn of it. */
@@ -338,7 +338,7 @@
         // Not on the loop, which may come to it late.
         long toldUs = driver.clock().nowUs();
         loop.execute(() -> {
-            if (!frontend.listens() && member == null) {
+            if (!frontend.isListening() && member == null) {
                 // Nothing was taken, and nobody is to be told.
                 finished.countDown();
                 return;
@@ -374,14 +374,14 @@
 
     /** All answers have then left: each closes its connection. */
     private void endWhenIdle() {
-        frontend.closeUnused();
+        frontend.closeUnusedConnections();
         boolean late = driver.clock().nowUs() > driver.latestDeadlineUs() + TRANSFER_MS * 1000;
         if (late) {
             LOG.warn("stopped with requests that have not ended");
             driver.logPending("the process ends");
         }
         if (late || driver.isIdle() && frontend.isEmpty()) {
-            driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.heldBytes() == 0,
+            driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.bufferedBytes() == 0,
                     Invariants.Rule.NOTHING_LEFT, "", () -> held().toString());
             finished.countDown();
         } else {
--- a/src/main/java/larkworks/proxy/SendGuard.java
+++ b/src/main/java/larkworks/proxy/SendGuard.java
@@ -29,7 +29,7 @@
         if (attempt.ended) {
             return Decision.ATTEMPT_ENDED;
         }
-        if (attempt.request.answered()) {
+        if (attempt.request.isAnswered()) {
             return Decision.ANSWERED;
         }
         if (excluded) {
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -23,7 +23,7 @@
         long maxBufferingUs(UpstreamAttempt attempt);
 
         /** Called when the attempt's exchange has ended. */
-        void attemptEnded(UpstreamAttempt attempt, Answer answer);
+        void attemptEnded(UpstreamAttempt attempt, AttemptResult answer);
     }
 
     final PendingRequest request;
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void exchangeEnded(Answer answer) {
+    public void exchangeEnded(AttemptResult answer) {
         listener.attemptEnded(this, answer);
     }
 }
