--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -588,7 +588,7 @@
                     .addKeyValue("left_ms", (deadlineUs - nowUs) / 1000).log("request taken");
         }
         if (inbound.upload() == null) {
-            scheduleGuard(pending, nowUs);
+            startFailureTimer(pending, nowUs);
         } else {
             inbound.upload().onNotRepeatable(() -> runEvent(
                     () -> pending.module.balancer.bodyDiscarded(clock.nowUs(), pending.id)));
@@ -634,8 +634,8 @@
         return deadlineUs;
     }
 
-    /** Schedules the answer that is given if the request has none shortly before its deadline. */
-    private void scheduleGuard(PendingRequest pending, long nowUs) {
+    /** Starts the timer that fails the request shortly before its deadline, if it has no answer by then. */
+    private void startFailureTimer(PendingRequest pending, long nowUs) {
         pending.failureTimer = loop.schedule(() -> failBeforeDeadline(pending),
                 Math.max(0, pending.deadlineUs - DEADLINE_MARGIN_US - nowUs), TimeUnit.MICROSECONDS);
     }
@@ -648,7 +648,7 @@
         long nowUs = clock.nowUs();
         pending.uploadCompletedUs = nowUs;
         pending.deadlineUs = deadlineUs(nowUs, pending.inbound);
-        scheduleGuard(pending, nowUs);
+        startFailureTimer(pending, nowUs);
         pending.attempts.stream().filter(attempt -> !attempt.ended)
                 .forEach(attempt -> scheduleTimeout(attempt, nowUs, pending.deadlineUs));
         runEvent(() -> pending.module.balancer.uploadCompleted(clock.nowUs(), pending.id));
@@ -668,7 +668,7 @@
         } else if (!pending.isAnswered()) {
             recordResult(pending, Meters.Result.GONE);
             runEvent(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
-            endIfDone(pending);
+            removeIfEnded(pending);
         }
     }
 
@@ -753,7 +753,7 @@
             } catch (RuntimeException e) {
                 failAfterException(pending, e);
             }
-            endIfDone(pending);
+            removeIfEnded(pending);
         });
     }
 
@@ -812,12 +812,12 @@
                 LOG.atDebug().addKeyValue("request", pending.inbound.callId()).log("answer not written");
             }
             pending.markDelivered();
-            endIfDone(pending);
+            removeIfEnded(pending);
         };
     }
 
     /** Removes the request once it has ended, and its module if that was an earlier one's last request. */
-    private void endIfDone(PendingRequest pending) {
+    private void removeIfEnded(PendingRequest pending) {
         if (requests.removeIfEnded(pending) && --pending.module.pendingRequests == 0
                 && pending.module != newestModule) {
             modules.remove(pending.module);
