--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -197,7 +197,7 @@
         this.requests = new PendingRequests(clock);
         this.loop = loop;
         this.pool = pool;
-        this.probes = new HealthProbes(clock, loop, pool, config.loadReports());
+        this.probes = new HealthProbes(clock, loop, pool, config.hasLoadReports());
         this.seed = config.seed();
         this.newestModule = new DecisionModule();
         modules.add(newestModule);
@@ -463,7 +463,7 @@
             ListKind appliedKind = kind == ListKind.REMEMBERED ? kind : ListKind.CHANGES;
             List<Listing.Entry> differing = kind == ListKind.WHOLE ? differences(entries) : entries;
             List<Server> movedServers = new ArrayList<>();
-            List<Server> servers = new ArrayList<>(startTimes.place(nowUs, kind,
+            List<Server> servers = new ArrayList<>(startTimes.toLocalClock(nowUs, kind,
                     differing.stream().map(Listing.Entry::server).toList(), previousListCurrentUs,
                     movedServers));
             List<String> goneServers = new ArrayList<>();
@@ -517,7 +517,7 @@
         }
         backends.forEach((id, backend) -> {
             if (!listedIds.contains(id)) {
-                differing.add(backend.lastEntry.gone());
+                differing.add(backend.lastEntry.asGone());
             }
         });
         return differing;
--- a/src/main/java/larkworks/proxy/Listing.java
+++ b/src/main/java/larkworks/proxy/Listing.java
@@ -8,25 +8,26 @@
 import larkworks.Balancer.ServerStatus;
 
 /**
- * A list of backends in discovery's form.
+ * A list of backends as received from discovery or read from the configuration.
  *
- * @param index its version
- * @param whole false where it holds only what changed
+ * @param index version of the list
+ * @param isFull whether it is a full list; false if it contains only changes
+ * @param entries its backends
  */
-record Listing(long index, boolean whole, List<Entry> entries) {
+record Listing(long index, boolean isFull, List<Entry> entries) {
 
-    /** A backend: what the module is told of it, and where it listens. */
+    /** A backend: its description for the decision module, and its address, null if it is gone. */
     record Entry(Server server, InetSocketAddress address) {
 
-        /** The same backend, gone. */
-        Entry gone() {
+        /** Returns an entry for the same backend with status {@code GONE}. */
+        Entry asGone() {
             return new Entry(new Server(server.id(), server.startedAtUs(), server.zone(), server.group(),
                     server.weight(), ServerStatus.GONE), null);
         }
     }
 
-    /** A backend's line whose fields are read one by one; those that mean nothing here are passed over. */
-    static final class Line {
+    /** Builds an entry from the JSON fields of a backend, given one by one; unknown fields are ignored. */
+    static final class EntryBuilder {
         private final List<String> zones;
         private Object name;
         private Object address;
@@ -34,14 +35,14 @@
         private Object zone;
         private Object group;
         private Object weight;
-        private Object since;
+        private Object sinceMs;
 
-        Line(List<String> zones) {
+        EntryBuilder(List<String> zones) {
             this.zones = zones;
         }
 
-        /** Takes a field: a text, a number or a boolean. */
-        void put(String field, Object value) {
+        /** Sets a field, whose value is a string, a number, a boolean or null. */
+        void set(String field, Object value) {
             switch (field) {
                 case "name" -> name = value;
                 case "address" -> address = value;
@@ -49,57 +50,64 @@
                 case "zone" -> zone = value;
                 case "group" -> group = value;
                 case "weight" -> weight = value;
-                case "since_ms" -> since = value;
+                case "since_ms" -> sinceMs = value;
                 default -> { }
             }
         }
 
         /**
-         * The backend of this line.
+         * Returns the entry.
          *
-         * @throws IllegalArgumentException where a field is missing or makes no sense
+         * @throws IllegalArgumentException if a required field is missing or invalid
          */
-        Entry entry() {
+        Entry build() {
             if (!(name instanceof String id)) {
-                throw new IllegalArgumentException("a backend without a name");
+                throw new IllegalArgumentException("endpoint without a name: a string is wanted, not '"
+                        + name + "'");
             }
-            ServerStatus told = switch (String.valueOf(status)) {
+            ServerStatus serverStatus = switch (String.valueOf(status)) {
                 case "in_service" -> ServerStatus.UP;
                 case "terminating" -> ServerStatus.DRAINING;
                 case "terminated" -> ServerStatus.GONE;
-                default -> throw new IllegalArgumentException("status of " + id + " is not known");
+                default -> throw new IllegalArgumentException("status of " + id
+                        + ": in_service, terminating or terminated is wanted, not '" + status + "'");
             };
-            double size = weight instanceof Number w && w.doubleValue() > 0 ? w.doubleValue() : 1;
-            // One that is gone may come without an address; nothing is sent to it.
-            InetSocketAddress at = told == ServerStatus.GONE ? null : Config.address(address);
-            return new Entry(new Server(id, whole(since) * 1000,
-                    Math.max(0, zones.indexOf(String.valueOf(zone))), (int) whole(group), size, told), at);
+            double serverWeight = weight instanceof Number number && number.doubleValue() > 0
+                    ? number.doubleValue() : 1;
+            // A terminated backend may lack an address, as nothing is sent to it.
+            InetSocketAddress serverAddress = serverStatus == ServerStatus.GONE ? null
+                    : Config.address(address);
+            return new Entry(new Server(id, longOrZero(sinceMs) * 1000,
+                    Math.max(0, zones.indexOf(String.valueOf(zone))), (int) longOrZero(group), serverWeight,
+                    serverStatus), serverAddress);
         }
     }
 
     /**
-     * Reads a list.
+     * Returns the list that a parsed JSON document describes.
      *
-     * @throws IllegalArgumentException where a field is missing or makes no sense
+     * @param zones names of the zones; a zone's position is its number
+     * @throws IllegalArgumentException if a required field is missing or invalid
      */
     static Listing of(Map<?, ?> json, List<String> zones) {
         if (!(json.get("index") instanceof Number index)
-                || !(json.get("snapshot") instanceof Boolean whole)
+                || !(json.get("snapshot") instanceof Boolean isFull)
                 || !(json.get("endpoints") instanceof List<?> endpoints)) {
-            throw new IllegalArgumentException("no list of backends");
+            throw new IllegalArgumentException("a number 'index', a boolean 'snapshot' and a list 'endpoints'"
+                    + " are wanted");
         }
         List<Entry> entries = new ArrayList<>(endpoints.size());
         for (Object endpoint : endpoints) {
-            Line line = new Line(zones);
+            EntryBuilder builder = new EntryBuilder(zones);
             if (endpoint instanceof Map<?, ?> fields) {
-                fields.forEach((field, value) -> line.put(String.valueOf(field), value));
+                fields.forEach((field, value) -> builder.set(String.valueOf(field), value));
             }
-            entries.add(line.entry());
+            entries.add(builder.build());
         }
-        return new Listing(index.longValue(), whole, entries);
+        return new Listing(index.longValue(), isFull, entries);
     }
 
-    private static long whole(Object value) {
-        return value instanceof Number n ? n.longValue() : 0;
+    private static long longOrZero(Object value) {
+        return value instanceof Number number ? number.longValue() : 0;
     }
 }
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -30,75 +30,87 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One proxy: its parts and its life from start to SIGTERM. */
+/** One proxy: creates its parts and runs its lifecycle, from the start to the shutdown after SIGTERM. */
 public final class Main {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
 
-    /** New connections come for up to 0.4 s after SIGTERM; each still gets its answers. */
-    private static final long ACCEPT_MS = 700;
-    /** How often it is seen whether all is finished. */
-    private static final long END_LOOK_MS = 10;
-    /** SIGKILL comes no sooner than so long after the longest deadline, which counts as 3 s at the most. */
-    private static final long KILL_MS = 700;
-    private static final long LONGEST_MS = 3_000;
     /**
-     * What comes late is answered so long before that: limits in time have 50 ms of slack on sockets, and the
-     * process may be held up for 150 between reading its clock and writing.
+     * How long connections are accepted after SIGTERM: new ones arrive for up to 0.4 s after it, and their
+     * requests are answered too.
+     */
+    private static final long ACCEPT_AFTER_SIGTERM_MS = 700;
+    /** How often the shutdown checks whether all requests have ended. */
+    private static final long SHUTDOWN_CHECK_INTERVAL_MS = 10;
+    /**
+     * The platform sends SIGKILL no sooner than after the longest deadline of any request class plus this
+     * time.
+     */
+    private static final long MIN_KILL_DELAY_MS = 700;
+    /** The platform counts a longer deadline as this one when it times SIGKILL. */
+    private static final long MAX_DEADLINE_MS = 3_000;
+    /**
+     * Requests that arrive late in the shutdown are answered this long before SIGKILL: time limits have 50 ms
+     * of slack on sockets, and the process may pause for 150 ms between reading its clock and writing.
      */
     private static final long KILL_MARGIN_MS = 200;
-    /** Large bodies have no deadline; platforms commonly wait so long before they kill a process. */
-    private static final long TRANSFER_MS = 30_000;
+    /**
+     * How long the shutdown waits for large bodies, which have no deadline; platforms commonly wait this long
+     * before they kill a process.
+     */
+    private static final long LARGE_BODY_TIMEOUT_MS = 30_000;
 
     /**
-     * So long after the start of its parts the proxy waits for the first list, however that goes on; then the
-     * one known from before serves. A restarted process may have to be ready within 6 s, of which loading and
-     * warming up take up to 3 s where twenty start at once on shared cores.
+     * Maximum wait for the first list, from the start of the proxy's parts; after it the proxy serves with
+     * the list from its configuration. A restarted process may have to be ready within 6 s, of which class
+     * loading and warm-up take up to 3 s if twenty processes start at once on shared cores.
      */
-    private static final long LIST_WAIT_MS = 2_500;
-    /** A socket to listen with that can't be had for a moment is asked for again, and for so long. */
-    private static final long LISTEN_AGAIN_MS = 20;
-    private static final long LISTEN_TRIES_MS = 5_000;
-    /** How often it is seen whether that list has come. */
-    private static final long LIST_LOOK_MS = 20;
+    private static final long MAX_LIST_WAIT_MS = 2_500;
+    /** Pause before another attempt to listen, if the system was short of sockets only for a moment. */
+    private static final long LISTEN_RETRY_MS = 20;
+    /** How long attempts to listen are repeated in the start. */
+    private static final long LISTEN_TIMEOUT_MS = 5_000;
+    /** How often the start checks whether the first list has arrived. */
+    private static final long LIST_CHECK_INTERVAL_MS = 20;
 
-    private final PollTimes polls = new PollTimes();
+    private final PollTimes pollTimes = new PollTimes();
     private final MultiThreadIoEventLoopGroup group =
-            new MultiThreadIoEventLoopGroup(1, polls.observe(NioIoHandler.newFactory()));
+            new MultiThreadIoEventLoopGroup(1, pollTimes.observe(NioIoHandler.newFactory()));
     private final EventLoop loop = group.next();
-    private final CountDownLatch finished = new CountDownLatch(1);
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final Config config;
     private final Sockets sockets;
     private final Driver driver;
     private final Frontend frontend;
     private final Discovery discovery;
-    /** Null where there is no second address. */
+    /** Null without an admin address. */
     private Maintenance maintenance;
-    private Channel admin;
-    /** Null where membership is off. */
-    private final FleetMember member;
-    /** Null where nothing is shared with other proxies. */
-    private final SharedState shared;
-    /** Null where no metrics are kept. */
+    private Channel adminListener;
+    /** Null if membership is off. */
+    private final FleetMember fleetMember;
+    /** Null if no state is shared with other proxies. */
+    private final SharedState sharedState;
+    /** Null if metrics are off. */
     private final Meters meters;
-    /** Null where this proxy takes no part in rollouts. */
-    private Adoption adoption;
-    private final Promise<InetSocketAddress> serving = loop.newPromise();
+    /** Null if this proxy does not take part in rollouts. */
+    private RolloutClient rolloutClient;
+    private final Promise<InetSocketAddress> servingAddress = loop.newPromise();
 
     Main(Config config) {
         this.config = config;
-        sockets = new Sockets(config.sockets(), config.admin() == null ? 0 : Admin.MOST_CONNECTIONS + 1);
+        sockets = new Sockets(config.sockets(),
+                config.adminAddress() == null ? 0 : AdminServer.MAX_CONNECTIONS + 1);
         BackendPool pool = new BackendPool(loop, sockets, config.connectTimeoutUs(), config.keepAliveUs());
-        meters = config.metrics() ? new Meters(config.settings().classes()) : null;
+        meters = config.metricsEnabled() ? new Meters(config.settings().classes()) : null;
         driver = new Driver(config, new Clock(), loop, pool, meters);
-        frontend = new Frontend(config, loop, sockets, driver, polls);
+        frontend = new Frontend(config, loop, sockets, driver, pollTimes);
         discovery = new Discovery(config, loop, sockets, driver);
-        member = config.fleet() == null ? null
-                : new FleetMember(loop, config.fleet(), new MemberLog(),
+        fleetMember = config.fleet() == null ? null
+                : new FleetMember(loop, config.fleet(), new MembershipLog(),
                         text -> LOG.warn(text));
-        shared = config.shared() == null ? null : share();
+        sharedState = config.shared() == null ? null : createSharedState();
         if (meters != null) {
-            measure();
+            registerGauges();
             driver.invariants().onViolation(meters::invariantViolated);
             frontend.onAcceptFailure(meters::acceptFailed);
         }
@@ -107,147 +119,153 @@
     }
 
     /**
-     * Runs the proxy that a file describes; see {@link Config#read}.
+     * Runs the proxy with the configuration in a file, read by {@link Config#read}, until it serves.
      *
-     * @param file the configuration's name, null where none was given
-     * @param flags values that stand before the file's
-     * @throws Unusable where the configuration, or an address in it, can't be used
+     * @param file the name of the configuration file, null if none was given
+     * @param flags values by key that override those of the file
+     * @throws Unusable if the configuration is invalid, or an address in it can't be listened at
      */
     public static void run(String file, Map<String, String> flags) throws Unusable, InterruptedException {
         Config config = Config.read(file, System.getenv(), flags);
         Logs.start(config.logs(), config.name().isEmpty() ? Map.of() : Map.of("node", config.name()));
         Main main = new Main(config);
-        HangUp.handle(() -> main.reload(file, flags));
+        SighupHandler.install(() -> main.reload(file, flags));
         if (config.rolloutReportMs() > 0) {
-            main.adoption = new Adoption(config, main.loop, main.driver,
+            main.rolloutClient = new RolloutClient(config, main.loop, main.driver,
                     patch -> Config.read(file, System.getenv(), flags, patch).settings());
         }
-        // Before anything is listened for: what comes then is finished, however early the signal is.
+        // Registered before the proxy listens, so that requests are finished however early SIGTERM comes.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            main.finish();
+            main.drainAndWait();
             Logs.stop();
         }));
         main.start();
         main.awaitServing();
     }
 
-    /** Joins the module's side, the fleet's and what is between them. */
-    private SharedState share() {
+    /** Creates the state shared with other proxies and connects it with the driver and the fleet member. */
+    private SharedState createSharedState() {
         SharedState state = new SharedState(config.shared(), config.fleet().self(),
                 config.fleet().peers().size(),
                 config.settings().classes().stream().map(RequestClass::name).toList(),
                 config.settings().rules().coldUs() / 1000, () -> driver.clock().nowUs() / 1000,
-                // Processes given one seed must not all choose the same members to tell.
-                new Random(config.seed() + config.fleet().self() * 0x9E3779B97F4A7C15L), member.peers(),
+                // Mixes in the member's number: proxies with the same seed must choose different members.
+                new Random(config.seed() + config.fleet().self() * 0x9E3779B97F4A7C15L), fleetMember.peers(),
                 driver.new PeerStateListener());
-        member.carry(state);
+        fleetMember.carry(state);
         driver.shareState(state);
         return state;
     }
 
-    /** Figures that are looked at when scraped, each safe to read from another thread. */
-    private void measure() {
+    /** Registers the gauges that are read at each scrape, from another thread than the loop. */
+    private void registerGauges() {
         meters.registerGauge("larkworks.discovery.index", discovery, d -> d.index());
         for (ListFreshness.State state : ListFreshness.State.values()) {
             meters.registerGauge("larkworks.list", discovery, d -> d.freshness() == state ? 1 : 0, "state",
                     state.name().toLowerCase(Locale.ROOT));
         }
         meters.registerGauge("larkworks.sockets.open", sockets, s -> s.openCount());
-        meters.registerGauge("larkworks.loop.longest.gap.ms", polls, PollTimes::longestGapMs);
-        if (member != null) {
-            meters.registerGauge("larkworks.minority", member, m -> m.minority() ? 1 : 0);
+        meters.registerGauge("larkworks.loop.longest.gap.ms", pollTimes, PollTimes::longestGapMs);
+        if (fleetMember != null) {
+            meters.registerGauge("larkworks.minority", fleetMember, m -> m.minority() ? 1 : 0);
             for (MemberState state : MemberState.values()) {
-                meters.registerGauge("larkworks.members", member, m -> m.count(state), "state",
+                meters.registerGauge("larkworks.members", fleetMember, m -> m.count(state), "state",
                         FleetMember.name(state));
             }
         }
     }
 
     /**
-     * Starts everything. Without a second address clients are listened for at once; with one another process
-     * may serve them still, so that this one takes its part only when it can serve.
+     * Starts all parts. Without an admin address the proxy listens for clients at once. With one, another
+     * process of this proxy may still serve at the same address, so this process listens there only when it
+     * can serve.
      */
     void start() throws Unusable, InterruptedException {
-        boolean shared = config.admin() != null;
-        long listByNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LIST_WAIT_MS);
-        maintenance = shared ? new Maintenance(config, loop, driver, sockets) : null;
+        boolean hasAdminAddress = config.adminAddress() != null;
+        long listDeadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_LIST_WAIT_MS);
+        maintenance = hasAdminAddress ? new Maintenance(config, loop, driver, sockets) : null;
         loop.submit(() -> {
-            polls.start(loop);
+            pollTimes.start(loop);
             driver.listChanged(ListKind.REMEMBERED,
-                    config.known() == null ? List.of() : config.known().entries(),
+                    config.knownList() == null ? List.of() : config.knownList().entries(),
                     driver.clock().nowUs(), Long.MIN_VALUE);
-            if (shared) {
+            if (hasAdminAddress) {
                 maintenance.start();
             }
             discovery.start();
-            if (member != null) {
-                member.start();
+            if (fleetMember != null) {
+                fleetMember.start();
             }
         }).sync();
-        if (shared) {
-            Admin operators = new Admin(loop, frontend::isReady, maintenance, tables(), meters);
-            admin = listen(() -> operators.listen(config.admin()), config.admin());
+        if (hasAdminAddress) {
+            AdminServer adminServer = new AdminServer(loop, frontend::isReady, maintenance, jsonTables(),
+                    meters);
+            adminListener = listenWithRetries(() -> adminServer.listen(config.adminAddress()),
+                    config.adminAddress());
         }
-        // Warming up at the shared address would reach the other process, and backends through it.
-        InetSocketAddress first = shared ? new InetSocketAddress(config.listen().getAddress(), 0)
-                : config.listen();
-        Channel listener = listen(() -> frontend.listen(first, false), first);
-        InetSocketAddress self = (InetSocketAddress) listener.localAddress();
-        loop.execute(() -> Warmup.run(config, loop, sockets, self, () -> {
-            if (shared) {
+        // Warm-up at the shared address could reach the other process and, through it, its backends.
+        InetSocketAddress initialAddress = hasAdminAddress
+                ? new InetSocketAddress(config.listen().getAddress(), 0) : config.listen();
+        Channel listener = listenWithRetries(() -> frontend.listen(initialAddress, false), initialAddress);
+        InetSocketAddress listenerAddress = (InetSocketAddress) listener.localAddress();
+        loop.execute(() -> Warmup.run(config, loop, sockets, listenerAddress, () -> {
+            if (hasAdminAddress) {
                 listener.close();
-                serveOnceListed(listByNanos);
+                serveOnceListReceived(listDeadlineNs);
             } else {
-                serving.trySuccess(self);
-                // What discovery has may count as told from the first moment on.
-                discovery.whenSettled(this::ready);
-                loop.schedule(discovery::settle, listByNanos - System.nanoTime(), TimeUnit.NANOSECONDS);
+                servingAddress.trySuccess(listenerAddress);
+                // Changes at discovery may count as delivered from the start, so the first call must have
+                // ended.
+                discovery.onFirstCallEnded(this::becomeReady);
+                loop.schedule(discovery::markFirstCallEnded, listDeadlineNs - System.nanoTime(),
+                        TimeUnit.NANOSECONDS);
             }
         }));
     }
 
-    /** What membership tells the operator: each change of the view, and whether it is to be trusted. */
-    private static final class MemberLog implements Membership.Events {
-        private static final Logger MEMBERS = LoggerFactory.getLogger("members");
+    /** Logs each change of a member's state, and whether this proxy sees a minority or a majority. */
+    private static final class MembershipLog implements Membership.Events {
+        private static final Logger MEMBERS_LOG = LoggerFactory.getLogger("members");
 
         @Override
         public void changed(int about, MemberState from, MemberState to, long incarnation) {
-            MEMBERS.atInfo().addKeyValue("about", about).addKeyValue("from", FleetMember.name(from))
+            MEMBERS_LOG.atInfo().addKeyValue("about", about).addKeyValue("from", FleetMember.name(from))
                     .addKeyValue("to", FleetMember.name(to)).addKeyValue("incarnation", incarnation)
                     .log("changed");
         }
 
         @Override
         public void dropped(String why) {
-            // Counted in the table; a line for each would hand the log to whoever floods the address.
+            // Only counted, in the members table: a log line for each datagram would let a flood fill the
+            // log.
         }
 
         @Override
         public void minority(boolean now) {
-            MEMBERS.warn(now ? "minority" : "majority");
+            MEMBERS_LOG.warn(now ? "minority" : "majority");
         }
     }
 
-    /** What the second address shows beside readiness, by path. */
-    private Map<String, Supplier<String>> tables() {
-        Map<String, Supplier<String>> tables = new HashMap<>();
-        if (member != null) {
-            tables.put("/ops/members", member::table);
+    /** Returns the JSON tables that the admin address serves, by path. */
+    private Map<String, Supplier<String>> jsonTables() {
+        Map<String, Supplier<String>> jsonTables = new HashMap<>();
+        if (fleetMember != null) {
+            jsonTables.put("/ops/members", fleetMember::table);
         }
-        if (shared != null) {
-            tables.put("/ops/shared", shared::json);
+        if (sharedState != null) {
+            jsonTables.put("/ops/shared", sharedState::json);
         }
-        return tables;
+        return jsonTables;
     }
 
-    /** Listens; where the system has no socket for a moment, that must not end the start. */
-    private static Channel listen(Supplier<ChannelFuture> binding, InetSocketAddress address)
+    /** Waits for a listener to bind; retries if the system is short of sockets only for a moment. */
+    private static Channel listenWithRetries(Supplier<ChannelFuture> binding, InetSocketAddress address)
             throws Unusable, InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TRIES_MS);
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TIMEOUT_MS);
         ChannelFuture bound = binding.get().await();
         while (!bound.isSuccess() && SystemError.of(bound.cause()).isMomentary()
-                && System.nanoTime() - untilNanos < 0) {
-            Thread.sleep(LISTEN_AGAIN_MS);
+                && System.nanoTime() - deadlineNs < 0) {
+            Thread.sleep(LISTEN_RETRY_MS);
             bound = binding.get().await();
         }
         if (!bound.isSuccess()) {
@@ -256,144 +274,163 @@
         return bound.channel();
     }
 
-    /** The list known from the configuration may be old, so a new one is waited for, but not for long. */
-    private void serveOnceListed(long untilNanos) {
+    /**
+     * Listens for clients once a list has been received and a backend can serve. The list in the
+     * configuration may be old; after {@code deadlineNs} it suffices all the same.
+     */
+    private void serveOnceListReceived(long deadlineNs) {
         if (frontend.isDraining()) {
-            // Told to end during its start: another process serves at the address, or will.
+            // SIGTERM arrived during the start; another process serves at the address or soon will.
             return;
         }
-        boolean waited = discovery.heard() || System.nanoTime() - untilNanos > 0;
-        if (!waited || !driver.canServe()) {
-            loop.schedule(() -> serveOnceListed(untilNanos), LIST_LOOK_MS, TimeUnit.MILLISECONDS);
+        boolean waitEnded = discovery.hasReceivedList() || System.nanoTime() - deadlineNs > 0;
+        if (!waitEnded || !driver.canServe()) {
+            loop.schedule(() -> serveOnceListReceived(deadlineNs), LIST_CHECK_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
             return;
         }
         ChannelFuture bound = frontend.listen(config.listen(), true);
         bound.addListener(done -> {
             if (done.isSuccess()) {
-                ready();
-                serving.trySuccess((InetSocketAddress) bound.channel().localAddress());
+                becomeReady();
+                servingAddress.trySuccess((InetSocketAddress) bound.channel().localAddress());
             } else if (SystemError.of(done.cause()).isMomentary()) {
-                loop.schedule(() -> serveOnceListed(untilNanos), LISTEN_AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> serveOnceListReceived(deadlineNs), LISTEN_RETRY_MS,
+                        TimeUnit.MILLISECONDS);
             } else {
-                serving.tryFailure(done.cause());
+                servingAddress.tryFailure(done.cause());
             }
         });
     }
 
-    private void ready() {
+    private void becomeReady() {
         frontend.setWarmedUp();
-        if (adoption != null) {
-            adoption.start();
+        if (rolloutClient != null) {
+            rolloutClient.start();
         }
     }
 
-    /** Turns to the discovery that the replaced file names; all else in it waits for a restart. */
+    /** Switches to the discovery addresses in the replaced file; its other changes need a restart. */
     private synchronized void reload(String file, Map<String, String> flags) {
         try {
-            Config next = Config.read(file, System.getenv(), flags);
-            List<String> keys = config.restartNeeded(next);
+            Config newConfig = Config.read(file, System.getenv(), flags);
+            List<String> keys = config.keysNeedingRestart(newConfig);
             if (!keys.isEmpty()) {
-                LOG.atWarn().addKeyValue("keys", keys).log("a change that needs a restart is not taken up");
+                LOG.atWarn().addKeyValue("keys", keys)
+                        .log("changes of these keys need a restart and were not applied");
             }
-            loop.execute(() -> discovery.moveTo(next.discovery()));
+            loop.execute(() -> discovery.switchTo(newConfig.discovery()));
         } catch (Unusable e) {
             LOG.atError().addKeyValue("why", e.getMessage()).log("the old configuration is kept");
         }
     }
 
-    /** What is held for clients: requests, how many of them past their deadline, bodies, connections. */
-    record Held(boolean requests, int overdue, int bodyBytes, int connections, long violations) { }
+    /**
+     * Requests and resources of clients at one moment, and violated invariants since the start.
+     *
+     * @param hasRequests whether any request has not ended
+     * @param requestsPastDeadline requests whose clients wait for an answer past the deadline
+     * @param bodyBytes buffered bytes of request bodies
+     * @param connections open connections of clients
+     * @param violations violations of invariants
+     */
+    record ClientUsage(boolean hasRequests, int requestsPastDeadline, int bodyBytes, int connections,
+            long violations) { }
 
-    /** What is held for clients now, for tests that show it given back; to be asked on the loop. */
-    Held held() {
-        return new Held(!driver.isIdle(), driver.requestsPastDeadline().size(), frontend.bufferedBytes(),
-                frontend.openConnections(), driver.invariants().violationCount());
+    /** Returns the requests and resources of clients now; to be called on the loop. */
+    ClientUsage clientUsage() {
+        return new ClientUsage(!driver.isIdle(), driver.requestsPastDeadline().size(),
+                frontend.bufferedBytes(), frontend.openConnections(), driver.invariants().violationCount());
     }
 
-    /** The one loop, for tests that make several things happen in one turn of it. */
+    /** Returns the proxy's only event loop, so that tests can run several steps in one iteration. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Where the operators' calls come; only after a start with a second address. */
+    /** Returns the bound admin address; only after a start with an admin address. */
     InetSocketAddress adminAddress() {
-        return (InetSocketAddress) admin.localAddress();
+        return (InetSocketAddress) adminListener.localAddress();
     }
 
-    /** Waits until the proxy serves, and tells where. */
+    /** Waits until the proxy serves and returns the address that it listens at. */
     InetSocketAddress awaitServing() throws Unusable, InterruptedException {
-        serving.await();
-        if (!serving.isSuccess()) {
+        servingAddress.await();
+        if (!servingAddress.isSuccess()) {
             throw new Unusable("can't listen at " + config.listen(),
-                    List.of(serving.cause().getMessage()));
+                    List.of(servingAddress.cause().getMessage()));
         }
-        return serving.getNow();
+        return servingAddress.getNow();
     }
 
     /**
-     * Finishes what was taken, while the JVM waits for this before it exits. It ends only once that is done:
-     * whatever was left then would be lost, while SIGKILL may come later than it could.
+     * Shuts down after SIGTERM: drains and waits until all requests have ended, while the JVM, which runs
+     * this as a shutdown hook, waits before it exits. Requests left at its end would be lost, so it takes as
+     * long as they need: SIGKILL may come later than its earliest time.
      */
-    void finish() {
-        // Not on the loop, which may come to it late.
-        long toldUs = driver.clock().nowUs();
+    void drainAndWait() {
+        // Read here and not on the loop, which may be busy and run the task late.
+        long signalUs = driver.clock().nowUs();
         loop.execute(() -> {
-            if (!frontend.isListening() && member == null) {
-                // Nothing was taken, and nobody is to be told.
-                finished.countDown();
+            if (!frontend.isListening() && fleetMember == null) {
+                // No requests were accepted, and there are no members to notify.
+                shutdownComplete.countDown();
                 return;
             }
             frontend.drain();
-            if (adoption != null) {
-                adoption.close();
+            if (rolloutClient != null) {
+                rolloutClient.close();
             }
-            if (member != null) {
-                member.leave();
+            if (fleetMember != null) {
+                fleetMember.leave();
             }
-            // What comes over 0.7 s after the signal must not be found unanswered by the earliest SIGKILL. It
-            // may have been sent some time before it was heard here, so that the bound holds sooner.
-            long killMs = Math.min(LONGEST_MS, longestMs()) + KILL_MS;
-            driver.limitDeadlines(toldUs + (ACCEPT_MS - KILL_MARGIN_MS) * 1000,
-                    toldUs + (killMs - KILL_MARGIN_MS) * 1000);
+            // A request sent over 0.7 s after SIGTERM must be answered before the earliest SIGKILL. SIGTERM
+            // may have been sent some time before this process handled it, so the bound starts sooner.
+            long earliestKillMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs()) + MIN_KILL_DELAY_MS;
+            driver.limitDeadlines(signalUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
+                    signalUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
             loop.schedule(() -> {
                 frontend.stopListening();
-                endWhenIdle();
-            }, ACCEPT_MS, TimeUnit.MILLISECONDS);
+                completeWhenIdle();
+            }, ACCEPT_AFTER_SIGTERM_MS, TimeUnit.MILLISECONDS);
         });
         try {
-            finished.await();
+            shutdownComplete.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private long longestMs() {
+    private long longestDeadlineMs() {
         return config.settings().classes().stream().mapToLong(RequestClass::deadlineUs).max().orElse(0)
                 / 1000;
     }
 
-    /** All answers have then left: each closes its connection. */
-    private void endWhenIdle() {
+    /**
+     * Ends the shutdown once all requests have ended and all connections are closed, which each answer does
+     * while the proxy drains, or once the time for large bodies is over.
+     */
+    private void completeWhenIdle() {
         frontend.closeUnusedConnections();
-        boolean late = driver.clock().nowUs() > driver.latestDeadlineUs() + TRANSFER_MS * 1000;
-        if (late) {
+        boolean timedOut = driver.clock().nowUs() > driver.latestDeadlineUs() + LARGE_BODY_TIMEOUT_MS * 1000;
+        if (timedOut) {
             LOG.warn("stopped with requests that have not ended");
             driver.logPending("the process ends");
         }
-        if (late || driver.isIdle() && frontend.isEmpty()) {
+        if (timedOut || driver.isIdle() && frontend.isEmpty()) {
             driver.invariants().check(driver.isIdle() && frontend.isEmpty() && frontend.bufferedBytes() == 0,
-                    Invariants.Rule.NOTHING_LEFT, "", () -> held().toString());
-            finished.countDown();
+                    Invariants.Rule.NOTHING_LEFT, "", () -> clientUsage().toString());
+            shutdownComplete.countDown();
         } else {
-            loop.schedule(this::endWhenIdle, END_LOOK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::completeWhenIdle, SHUTDOWN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Ends the proxy at once. */
+    /** Closes the proxy at once, without draining. */
     void close() {
         loop.execute(discovery::close);
-        if (member != null) {
-            loop.execute(member::leave);
+        if (fleetMember != null) {
+            loop.execute(fleetMember::leave);
         }
         if (meters != null) {
             meters.close();
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -9,100 +9,107 @@
 import larkworks.Balancer.Server;
 
 /**
- * Places servers' starts on this process's clock. The list tells them in Unix time by the clock that all
- * machines read; this process's own may have been wrong when it started, by seconds or an hour, and a start
- * that looks older than it is has a cold server crowded. So a start is bounded by what was seen here: it is
- * not in the future, and one that is told while the list was watched is no older than the list held before.
- * A difference of the clocks that shows this way holds for all starts.
+ * Converts the start times of servers to this process's clock. Lists give them in Unix time; this process's
+ * clock may have been wrong by seconds or an hour when it started, and a server whose start looks too old
+ * gets the load of a warm server while it is cold. So a start time is corrected by what this process
+ * observed: it is not in the future, and the start of a server that appears while the list is watched is no
+ * older than the previous list. A clock offset found this way is applied to all start times.
  */
 final class StartTimes {
 
-    /** Lists may come some seconds after the starts that they tell, which tells nothing of clocks. */
-    private static final long LATE_LIST_US = 30_000_000;
+    /** A list may arrive this long after a server's start without implying that the clocks differ. */
+    private static final long MAX_LIST_DELAY_US = 30_000_000;
 
-    /** Starts that are remembered, also of servers that no list names for a while. */
-    private static final int MOST_STARTS = 16_384;
+    /** Maximum servers whose starts are kept, including servers that are no longer listed. */
+    private static final int MAX_SERVERS = 16_384;
 
-    /** A line of the list, and its start on this process's clock. */
-    private record Start(Server line, long placedUs) {
-        Server placed() {
-            return new Server(line.id(), placedUs, line.zone(), line.group(), line.weight(), line.status());
+    /** A server as listed, with its listed start time, and its start on this process's clock. */
+    private record KnownStart(Server listed, long localStartUs) {
+        Server withLocalStart() {
+            return new Server(listed.id(), localStartUs, listed.zone(), listed.group(), listed.weight(),
+                    listed.status());
         }
     }
 
-    private final long rampUs;
-    private final Map<String, Start> starts = new LinkedHashMap<>() {
+    private final long coldUs;
+    private final Map<String, KnownStart> starts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Start> eldest) {
-            return size() > MOST_STARTS;
+        protected boolean removeEldestEntry(Map.Entry<String, KnownStart> eldest) {
+            return size() > MAX_SERVERS;
         }
     };
-    /** What has to be added to a told time to have it on this process's clock. */
-    private long offsetUs;
-    /** Whether a list from before this process's start told of servers. */
-    private boolean remembers;
+    /** Difference that converts a listed time to this process's clock. */
+    private long clockOffsetUs;
+    /** Whether a list remembered from before this process's start contained servers. */
+    private boolean hasRememberedServers;
 
-    /** {@code rampUs}: how long after its start a server is cold. */
-    StartTimes(long rampUs) {
-        this.rampUs = rampUs;
+    /** Creates an empty table; {@code coldUs} is how long a server counts as cold after its start. */
+    StartTimes(long coldUs) {
+        this.coldUs = coldUs;
     }
 
     /**
-     * The lines with their starts on this process's clock.
+     * Returns the servers with their start times converted to this process's clock.
      *
-     * @param currentUs when the list held before was known to be current; the least value where it never was
-     * @param moved gets the servers told of before whose start shows by these lines to be a later one
+     * @param servers the servers as listed
+     * @param previousListUs when the previous list was current; {@code Long.MIN_VALUE} if there is none
+     * @param corrected receives servers of earlier lists whose start time turns out later than assumed, by a
+     *     clock offset that these servers reveal
      */
-    List<Server> place(long nowUs, ListKind kind, List<Server> lines, long currentUs, List<Server> moved) {
-        long before = offsetUs;
-        for (Server line : lines) {
-            Start known = starts.get(line.id());
-            boolean same = known != null && known.line.startedAtUs() == line.startedAtUs();
-            starts.put(line.id(), new Start(line, same ? known.placedUs
-                    : placed(nowUs, kind, line.startedAtUs(), currentUs)));
+    List<Server> toLocalClock(long nowUs, ListKind kind, List<Server> servers, long previousListUs,
+            List<Server> corrected) {
+        long previousOffsetUs = clockOffsetUs;
+        for (Server server : servers) {
+            KnownStart known = starts.get(server.id());
+            boolean isUnchanged = known != null && known.listed.startedAtUs() == server.startedAtUs();
+            starts.put(server.id(), new KnownStart(server, isUnchanged ? known.localStartUs
+                    : localStartUs(nowUs, kind, server.startedAtUs(), previousListUs)));
         }
-        remembers |= kind == ListKind.REMEMBERED && !lines.isEmpty();
-        if (offsetUs != before) {
-            placeAnew(nowUs, moved);
-            Set<String> told = lines.stream().map(Server::id).collect(Collectors.toSet());
-            moved.removeIf(server -> told.contains(server.id()));
+        hasRememberedServers |= kind == ListKind.REMEMBERED && !servers.isEmpty();
+        if (clockOffsetUs != previousOffsetUs) {
+            applyClockOffset(nowUs, corrected);
+            Set<String> listedIds = servers.stream().map(Server::id).collect(Collectors.toSet());
+            corrected.removeIf(server -> listedIds.contains(server.id()));
         }
-        return lines.stream().map(line -> starts.get(line.id()).placed()).toList();
+        return servers.stream().map(server -> starts.get(server.id()).withLocalStart()).toList();
     }
 
-    private long placed(long nowUs, ListKind kind, long toldUs, long currentUs) {
-        if (toldUs <= 0) {
-            return toldUs;
+    private long localStartUs(long nowUs, ListKind kind, long listedStartUs, long previousListUs) {
+        if (listedStartUs <= 0) {
+            return listedStartUs;
         }
-        long byClockUs = toldUs + offsetUs;
-        if (byClockUs > nowUs) {
-            offsetUs = nowUs - toldUs;
+        long convertedUs = listedStartUs + clockOffsetUs;
+        if (convertedUs > nowUs) {
+            clockOffsetUs = nowUs - listedStartUs;
             return nowUs;
         }
-        if (currentUs != Long.MIN_VALUE) {
-            if (currentUs - byClockUs > LATE_LIST_US) {
-                offsetUs = currentUs - toldUs;
+        if (previousListUs != Long.MIN_VALUE) {
+            if (previousListUs - convertedUs > MAX_LIST_DELAY_US) {
+                clockOffsetUs = previousListUs - listedStartUs;
             }
-            return Math.max(byClockUs, currentUs);
+            return Math.max(convertedUs, previousListUs);
         }
-        // Not among the servers remembered from before, so it started since; by the clock that was long ago.
-        boolean started = kind != ListKind.REMEMBERED && remembers;
-        return started && nowUs - byClockUs >= rampUs ? nowUs : byClockUs;
+        // A server that the remembered list lacks started after that list, however old its start looks.
+        boolean startedLater = kind != ListKind.REMEMBERED && hasRememberedServers;
+        return startedLater && nowUs - convertedUs >= coldUs ? nowUs : convertedUs;
     }
 
-    /** Never to an earlier start than before: what was bounded by sight stays so. */
-    private void placeAnew(long nowUs, List<Server> moved) {
+    /**
+     * Applies a new clock offset to the starts kept so far. A start only ever moves to a later time, so that
+     * corrections from what this process observed stay in force.
+     */
+    private void applyClockOffset(long nowUs, List<Server> corrected) {
         starts.replaceAll((id, start) -> {
-            long toldUs = start.line.startedAtUs();
-            long placedUs = Math.min(nowUs, toldUs + offsetUs);
-            if (toldUs <= 0 || nowUs - placedUs >= rampUs || placedUs <= start.placedUs) {
+            long listedStartUs = start.listed.startedAtUs();
+            long localStartUs = Math.min(nowUs, listedStartUs + clockOffsetUs);
+            if (listedStartUs <= 0 || nowUs - localStartUs >= coldUs || localStartUs <= start.localStartUs) {
                 return start;
             }
-            Start later = new Start(start.line, placedUs);
-            moved.add(later.placed());
-            return later;
+            KnownStart correctedStart = new KnownStart(start.listed, localStartUs);
+            corrected.add(correctedStart.withLocalStart());
+            return correctedStart;
         });
     }
 }
