--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -42,93 +42,99 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connections to backends: sends one exchange at a time on each and tells how it ended. It sends nothing
- * again by itself.
+ * A pool of keep-alive connections to backends. Each connection carries one exchange at a time, and each
+ * exchange reports how it ended to its receiver. The pool never repeats a request by itself. For the proxy's
+ * loop only.
  */
 final class BackendPool {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
-    /** A body up to this is held whole. */
-    static final int MOST_BODY = 64 << 10;
-    /** The largest body that is passed on. */
-    static final long MOST_LARGE = 32 << 20;
-    /** An idle connection is given up so long before the backend would close it, maybe under a request. */
-    private static final long IDLE_MARGIN_US = 1_000_000;
+    /** A body up to this size is buffered as a whole; a larger one is forwarded as it arrives. */
+    static final int MAX_BUFFERED_BODY_BYTES = 64 << 10;
+    /** The largest request or response body that the proxy forwards. */
+    static final long MAX_BODY_BYTES = 32 << 20;
+    /**
+     * An idle connection is closed this long before the backend's keep-alive time-out, so that the backend
+     * doesn't close it while a request is being sent.
+     */
+    private static final long IDLE_TIMEOUT_MARGIN_US = 1_000_000;
 
     /**
-     * A connection rests for so long after an answer: a backend at fault may send a second one some
-     * milliseconds late, which the next request would be given. Those seen came after 1 to 18 ms.
+     * A connection is not reused for this long after an answer. A faulty backend may send a second answer
+     * after the first one, which would be taken for the answer to the next request. Such answers came 1 to
+     * 18 ms late.
      */
-    static final long REST_MS = 20;
-    /** Further tries of a connection for which this machine had no descriptor, port or buffer. */
-    private static final int MOST_LOCAL_FAILURES = 4;
-    /** The pause before the first of them; doubled before each further one. */
-    private static final long FIRST_LOCAL_PAUSE_MS = 1;
+    static final long REUSE_DELAY_MS = 20;
+    /** Retries of a connection attempt that failed because this machine had no descriptor, port or buffer. */
+    private static final int MAX_LOCAL_RETRIES = 4;
+    /** The delay before the first retry of a connection attempt; doubled before each further retry. */
+    private static final long FIRST_LOCAL_RETRY_DELAY_MS = 1;
 
     private final Bootstrap bootstrap;
     private final EventLoop loop;
     private final Sockets sockets;
-    private final long idleUs;
-    /** Idle connections of each backend, the most recently used last. */
-    private final Map<InetSocketAddress, ArrayDeque<Connection>> idle = new HashMap<>();
-    /** All of them, the longest idle first. */
-    private final Set<Connection> idleOrder = new LinkedHashSet<>();
-    /** Backends to which no connection is kept. */
-    private Set<InetSocketAddress> retired = Set.of();
+    private final long idleTimeoutUs;
+    /** The idle connections to each backend, the most recently used last. */
+    private final Map<InetSocketAddress, ArrayDeque<Connection>> idleByAddress = new HashMap<>();
+    /** All idle connections, the longest idle first. */
+    private final Set<Connection> idleOldestFirst = new LinkedHashSet<>();
+    /** Backends to which no idle connections are kept. */
+    private Set<InetSocketAddress> unpooledAddresses = Set.of();
 
     BackendPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long keepAliveUs) {
         this(loop, sockets, connectTimeoutUs, keepAliveUs, TcpChannel::new);
     }
 
-    /** With a way of getting channels, which a test may have fail. */
+    /** Creates a pool with a given channel factory, so that tests can make the opening of sockets fail. */
     BackendPool(EventLoop loop, Sockets sockets, long connectTimeoutUs, long keepAliveUs,
             ChannelFactory<NioSocketChannel> channels) {
         this.loop = loop;
         this.sockets = sockets;
-        this.idleUs = Math.max(keepAliveUs / 2, keepAliveUs - IDLE_MARGIN_US);
+        this.idleTimeoutUs = Math.max(keepAliveUs / 2, keepAliveUs - IDLE_TIMEOUT_MARGIN_US);
         this.bootstrap = new Bootstrap().group(loop).channelFactory(channels)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBuffers())
+                .option(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBufferAllocator())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1000));
     }
 
     /**
-     * Begins an exchange.
+     * Starts an exchange.
      *
-     * @param request asked for just before the first byte goes out; null where nothing may go out any more
-     * @param receiver told once how it ended, perhaps before this method returns
+     * @param request called just before the first byte is written; returns null if nothing must be sent any
+     *     more
+     * @param receiver notified once of the end of the exchange, possibly before this method returns
      */
-    Exchange begin(InetSocketAddress address, Supplier<HttpRequest> request, Receiver receiver) {
+    Exchange startExchange(InetSocketAddress address, Supplier<HttpRequest> request, Receiver receiver) {
         Exchange exchange = new Exchange(request, receiver);
-        begin(address, exchange);
+        startExchange(address, exchange);
         return exchange;
     }
 
-    private void begin(InetSocketAddress address, Exchange exchange) {
+    private void startExchange(InetSocketAddress address, Exchange exchange) {
         Connection connection = takeIdle(address);
         if (connection != null) {
             exchange.write(connection);
-        } else if (sockets.take()) {
+        } else if (sockets.tryAcquire()) {
             connect(address, exchange);
         } else {
-            // No descriptor is left here, which says nothing about the backend.
+            // This proxy has no descriptor left, which is no failure of the backend.
             exchange.end(AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
     private void connect(InetSocketAddress address, Exchange exchange) {
         Connection connection = new Connection(address);
-        Bootstrap own = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
+        Bootstrap connectionBootstrap = bootstrap.clone().handler(new ChannelInitializer<SocketChannel>() {
             @Override
             protected void initChannel(SocketChannel channel) {
                 channel.pipeline().addLast(new HttpRequestEncoder(), new ResponseDecoder(), connection);
             }
         });
-        connection.channel = sockets.connect(own, loop, address, connected -> {
+        connection.channel = sockets.connect(connectionBootstrap, loop, address, connected -> {
             if (connected != null && connected.isSuccess()) {
                 exchange.write(connection);
             } else if (connected == null || SystemError.of(connected.cause()).isLocal()) {
-                notConnectedHere(address, exchange);
+                retryAfterLocalFailure(address, exchange);
             } else {
                 exchange.end(AttemptResult.of(Outcome.CONNECT_FAILED));
             }
@@ -137,47 +143,51 @@
     }
 
     /**
-     * This machine had no descriptor, port or buffer for the connection, which says nothing about the
-     * backend. Another try follows soon, on an idle connection first, but only a few: on a machine that stays
-     * without, the loop must not spin.
+     * Retries after a connection attempt failed because this machine had no descriptor, port or buffer, which
+     * is no failure of the backend. A retry uses an idle connection if there is one by then. Retries are
+     * limited, so that the event loop doesn't spin while the resource remains unavailable.
      */
-    private void notConnectedHere(InetSocketAddress address, Exchange exchange) {
+    private void retryAfterLocalFailure(InetSocketAddress address, Exchange exchange) {
         exchange.connection = null;
         if (exchange.done) {
             return;
         }
-        if (exchange.localFailures == MOST_LOCAL_FAILURES) {
+        if (exchange.localFailures == MAX_LOCAL_RETRIES) {
             exchange.end(AttemptResult.of(Outcome.NOT_SENT));
             return;
         }
         loop.schedule(() -> {
             if (!exchange.done) {
-                begin(address, exchange);
+                startExchange(address, exchange);
             }
-        }, FIRST_LOCAL_PAUSE_MS << exchange.localFailures++, TimeUnit.MILLISECONDS);
+        }, FIRST_LOCAL_RETRY_DELAY_MS << exchange.localFailures++, TimeUnit.MILLISECONDS);
     }
 
-    /** Of those rested the one used last: the others then grow old and close, and a warm one serves. */
+    /**
+     * Takes the most recently used idle connection whose reuse delay has passed, or returns null if there is
+     * none. That one is the least likely to have been closed by the backend, and connections that are not
+     * needed expire.
+     */
     private Connection takeIdle(InetSocketAddress address) {
-        ArrayDeque<Connection> free = idle.get(address);
-        if (free == null) {
+        ArrayDeque<Connection> idleConnections = idleByAddress.get(address);
+        if (idleConnections == null) {
             return null;
         }
-        long now = System.nanoTime();
-        var newest = free.descendingIterator();
-        while (newest.hasNext()) {
-            Connection connection = newest.next();
-            if (now - connection.restsUntil < 0) {
+        long nowNs = System.nanoTime();
+        var newestFirst = idleConnections.descendingIterator();
+        while (newestFirst.hasNext()) {
+            Connection connection = newestFirst.next();
+            if (nowNs - connection.reusableFromNs < 0) {
                 continue;
             }
-            newest.remove();
-            idleOrder.remove(connection);
-            if (free.isEmpty()) {
-                idle.remove(address);
+            newestFirst.remove();
+            idleOldestFirst.remove(connection);
+            if (idleConnections.isEmpty()) {
+                idleByAddress.remove(address);
             }
             connection.readNow();
-            if (connection.channel.isActive() && now - connection.idleSince < idleUs * 1000) {
-                connection.expiry.cancel(false);
+            if (connection.channel.isActive() && nowNs - connection.idleSinceNs < idleTimeoutUs * 1000) {
+                connection.expiryTimer.cancel(false);
                 return connection;
             }
             connection.channel.close();
@@ -185,67 +195,76 @@
         return null;
     }
 
-    private void keep(Connection connection) {
-        connection.current = null;
+    /** Returns a connection to the pool, or closes it if no idle connections to its backend are kept. */
+    private void release(Connection connection) {
+        connection.currentExchange = null;
         if (!connection.channel.isActive()) {
             return;
         }
-        if (retired.contains(connection.address)) {
+        if (unpooledAddresses.contains(connection.address)) {
             connection.channel.close();
             return;
         }
-        connection.idleSince = System.nanoTime();
-        connection.expiry = loop.schedule(() -> drop(connection), idleUs, TimeUnit.MICROSECONDS);
-        idle.computeIfAbsent(connection.address, a -> new ArrayDeque<>()).addLast(connection);
-        idleOrder.add(connection);
+        connection.idleSinceNs = System.nanoTime();
+        connection.expiryTimer = loop.schedule(() -> closeIdle(connection), idleTimeoutUs,
+                TimeUnit.MICROSECONDS);
+        idleByAddress.computeIfAbsent(connection.address, a -> new ArrayDeque<>()).addLast(connection);
+        idleOldestFirst.add(connection);
     }
 
-    private void drop(Connection connection) {
-        ArrayDeque<Connection> free = idle.get(connection.address);
-        if (free != null && free.remove(connection) && free.isEmpty()) {
-            idle.remove(connection.address);
+    /** Closes a connection and removes it from the idle ones. */
+    private void closeIdle(Connection connection) {
+        ArrayDeque<Connection> idleConnections = idleByAddress.get(connection.address);
+        if (idleConnections != null && idleConnections.remove(connection) && idleConnections.isEmpty()) {
+            idleByAddress.remove(connection.address);
         }
-        idleOrder.remove(connection);
+        idleOldestFirst.remove(connection);
         connection.channel.close();
     }
 
-    /** To these backends no connection is kept from now on; those in use close when their exchange ends. */
-    void retire(Set<InetSocketAddress> addresses) {
-        retired = addresses;
+    /**
+     * Replaces the set of backends to which no idle connections are kept. Closes the idle connections to
+     * them; connections in use are closed when their exchange ends.
+     */
+    void setUnpooledAddresses(Set<InetSocketAddress> addresses) {
+        unpooledAddresses = addresses;
         for (InetSocketAddress address : addresses) {
-            ArrayDeque<Connection> free = idle.get(address);
-            while (free != null && !free.isEmpty()) {
-                drop(free.getLast());
+            ArrayDeque<Connection> idleConnections = idleByAddress.get(address);
+            while (idleConnections != null && !idleConnections.isEmpty()) {
+                closeIdle(idleConnections.getLast());
             }
         }
     }
 
-    /** Closes the connection that was idle longest; false where none is. */
-    boolean evict() {
-        if (idleOrder.isEmpty()) {
+    /** Closes the connection that has been idle for longest; returns false if no connection is idle. */
+    boolean evictLongestIdle() {
+        if (idleOldestFirst.isEmpty()) {
             return false;
         }
-        drop(idleOrder.iterator().next());
+        closeIdle(idleOldestFirst.iterator().next());
         return true;
     }
 
-    /** Reads {@code name=value,name=value}; null where there is nothing. */
-    static LoadReport report(String text) {
+    /**
+     * Parses a load report of the form {@code name=value,name=value}. Returns null if the text is missing or
+     * blank, or if one of its values is not a number.
+     */
+    static LoadReport parseLoadReport(String text) {
         if (text == null || text.isBlank()) {
             return null;
         }
         double[] values = {-1, -1, -1};
         for (String pair : text.split(",")) {
-            int eq = pair.indexOf('=');
-            int at = eq < 0 ? -1 : switch (pair.substring(0, eq).strip()) {
+            int separator = pair.indexOf('=');
+            int valueIndex = separator < 0 ? -1 : switch (pair.substring(0, separator).strip()) {
                 case "inflight" -> 0;
                 case "queue" -> 1;
                 case "util" -> 2;
                 default -> -1;
             };
-            if (at >= 0) {
+            if (valueIndex >= 0) {
                 try {
-                    values[at] = Double.parseDouble(pair.substring(eq + 1).strip());
+                    values[valueIndex] = Double.parseDouble(pair.substring(separator + 1).strip());
                 } catch (NumberFormatException e) {
                     return null;
                 }
@@ -254,136 +273,156 @@
         return new LoadReport(values[0], values[1], values[2]);
     }
 
-    /** Who waits for what an exchange brings. */
+    /** Receives the answer to an exchange. */
     interface Receiver {
 
         /**
-         * A served answer too large to be held begins; it is told here before it has ended.
+         * Called when an answer with status 200 proves too large to be buffered, before all of it has been
+         * received.
          *
-         * @param length of its body; negative where it is not told
-         * @return where the body goes; null where nobody wants it any more
+         * @param length the length of the body in bytes; negative if the backend did not declare it
+         * @return the sink for the body; null if the answer is not needed any more
          */
-        default Sink began(Exchange exchange, String type, long length) {
+        default AnswerSink streamStarted(Exchange exchange, String contentType, long length) {
             return null;
         }
 
-        /** For so long an answer of unknown length is held, as it may prove small; negative: to its end. */
-        default long holdUs() {
+        /**
+         * Returns for how long an answer of unknown length is buffered, in case it is small enough to be
+         * delivered as a whole. Negative: until it is complete or exceeds {@link #MAX_BUFFERED_BODY_BYTES}.
+         */
+        default long maxBufferingUs() {
             return -1;
         }
 
-        void ended(AttemptResult answer);
+        /** Called once, when the exchange has ended. */
+        void exchangeEnded(AttemptResult answer);
     }
 
-    /** Takes a large answer's body, part by part. */
-    interface Sink {
+    /** Takes the body of a large answer, part by part. */
+    interface AnswerSink {
 
-        /** Takes a part over; false where no more should come until {@link Exchange#resume}. */
-        boolean part(ByteBuf content);
+        /**
+         * Takes ownership of the next part. Returns false if no further part should be delivered until
+         * {@link Exchange#resumeReading} is called.
+         */
+        boolean write(ByteBuf content);
 
-        /** No more is there at the moment. */
+        /** Flushes the parts written so far; called when no more bytes are available to read. */
         void flush();
 
-        /** All of it has come. */
-        void end();
+        /** Completes the body: all of its parts have been delivered. */
+        void complete();
 
-        /** No more will come, though it is not whole. */
-        void broken();
+        /** Aborts the body: it is incomplete, and no further part will be delivered. */
+        void abort();
     }
 
-    /** One request to a backend and what comes back. */
+    /** A request to a backend and the answer to it. */
     final class Exchange {
-        private final Supplier<HttpRequest> request;
+        private final Supplier<HttpRequest> requestSupplier;
         private final Receiver receiver;
         private Connection connection;
         private int localFailures;
         private Upload upload;
-        private boolean begun;
-        private boolean written;
+        /** Whether the request has been handed to a connection for writing. */
+        private boolean started;
+        /** Whether the request's last byte has been written. */
+        private boolean fullyWritten;
         private boolean done;
 
-        private Exchange(Supplier<HttpRequest> request, Receiver receiver) {
-            this.request = request;
+        private Exchange(Supplier<HttpRequest> requestSupplier, Receiver receiver) {
+            this.requestSupplier = requestSupplier;
             this.receiver = receiver;
         }
 
-        /** Stops waiting: the backend sees its connection close. Nothing is told to the receiver. */
-        void abandon() {
+        /** Cancels the exchange by closing its connection. The receiver is not notified. */
+        void cancel() {
             if (!done) {
                 done = true;
                 if (connection != null) {
                     connection.channel.close();
-                    detach();
+                    detachUpload();
                 }
             }
         }
 
-        /** False while no byte of the request can have left. */
-        boolean begun() {
-            return begun;
+        /** Returns whether a byte of the request may have been sent. */
+        boolean hasStarted() {
+            return started;
         }
 
-        /** The answer's sink takes more. */
-        void resume() {
+        /** Resumes reading of the answer; called when its sink can take more. */
+        void resumeReading() {
             if (!done) {
                 connection.channel.config().setAutoRead(true);
             }
         }
 
-        private void write(Connection free) {
+        /**
+         * Writes the request on a connection, or returns the connection to the pool if nothing must be sent.
+         */
+        private void write(Connection target) {
             HttpRequest message = null;
             try {
-                message = done ? null : request.get();
+                message = done ? null : requestSupplier.get();
             } catch (RuntimeException e) {
-                // A request that can't be put into words must not take the connection with it.
-                LOG.atError().addKeyValue("backend", free.address).setCause(e).log("request not sent");
+                // An exception here must not leak the connection: it goes back to the pool below.
+                LOG.atError().addKeyValue("backend", target.address).setCause(e)
+                        .log("failed to build the request, so it is not sent");
             }
             if (message == null) {
-                keep(free);
+                release(target);
                 end(AttemptResult.of(Outcome.NOT_SENT));
                 return;
             }
-            connection = free;
-            free.current = this;
-            begun = true;
+            connection = target;
+            target.currentExchange = this;
+            started = true;
             if (message instanceof Upload.RequestHead head) {
                 upload = head.body();
-                free.channel.write(head);
-                upload.attach(free.channel, sent -> written(free, sent.isSuccess()));
+                target.channel.write(head);
+                upload.attach(target.channel, sent -> writeEnded(target, sent.isSuccess()));
             } else {
-                free.channel.writeAndFlush(message).addListener(sent -> written(free, sent.isSuccess()));
+                target.channel.writeAndFlush(message)
+                        .addListener(sent -> writeEnded(target, sent.isSuccess()));
             }
         }
 
-        private void written(Connection used, boolean success) {
-            written = success;
-            if (!written) {
-                // Before the connection's end is seen, which would end an answer that has no length.
+        private void writeEnded(Connection used, boolean success) {
+            fullyWritten = success;
+            if (!fullyWritten) {
+                // Reported before the close of the connection is processed, which would count as the regular
+                // end of an answer without a declared length.
                 used.channel.close();
                 if (!done) {
-                    used.lost();
+                    used.connectionLost();
                 }
             }
         }
 
-        private void detach() {
+        /** Stops an upload from writing to this exchange's connection. */
+        private void detachUpload() {
             if (upload != null) {
                 upload.detach(connection.channel);
             }
         }
 
-        /** The connection is gone: the backend begins a request only when its last byte has come. */
-        private void lost() {
-            end(AttemptResult.of(written ? Outcome.RESET : Outcome.CONNECT_FAILED));
+        /**
+         * Ends the exchange after the connection was lost. A backend does not start to process a request
+         * before it has received its last byte, so until that is written the request can't have run.
+         */
+        private void connectionLost() {
+            end(AttemptResult.of(fullyWritten ? Outcome.RESET : Outcome.CONNECT_FAILED));
         }
 
-        private void answered(AttemptResult answer, boolean reusable) {
+        private void answerReceived(AttemptResult answer, boolean reusable) {
             Connection used = connection;
-            if (reusable && written) {
-                used.restsUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REST_MS);
-                keep(used);
+            if (reusable && fullyWritten) {
+                used.reusableFromNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REUSE_DELAY_MS);
+                release(used);
             } else {
-                used.current = null;
+                used.currentExchange = null;
                 used.channel.close();
             }
             end(answer);
@@ -392,83 +431,84 @@
         private void end(AttemptResult answer) {
             if (!done) {
                 done = true;
-                detach();
-                receiver.ended(answer);
+                detachUpload();
+                receiver.exchangeEnded(answer);
             }
         }
     }
 
-    /** An answer on its way in. */
-    private static final class Incoming {
+    /** An answer that is being received. */
+    private static final class IncomingAnswer {
         final HttpResponse head;
-        /** Of the body; negative where it is not told. */
+        /** The declared length of the body in bytes; negative if not declared. */
         final long length;
-        /** What is held of it, while it may yet be small. */
-        ByteBuf held = Unpooled.buffer(256);
-        /** Bytes that came, of answers whose body nobody needs. */
-        long passed;
-        Sink sink;
-        Future<?> hold;
-
-        Incoming(HttpResponse head) {
+        /** The body received so far; empty once the answer has a sink. */
+        ByteBuf buffered = Unpooled.buffer(256);
+        /** The number of bytes received of a body that is discarded because the status is not 200. */
+        long discardedBytes;
+        AnswerSink sink;
+        Future<?> bufferingTimer;
+
+        IncomingAnswer(HttpResponse head) {
             this.head = head;
             this.length = HttpFraming.bodyLength(head);
         }
 
-        boolean serves() {
+        boolean isServed() {
             return head.status().code() == 200;
         }
 
-        String type() {
+        String contentType() {
             return head.headers().get(HttpHeaderNames.CONTENT_TYPE);
         }
 
         AttemptResult answer() {
             HttpResponseStatus status = head.status();
-            LoadReport load = report(head.headers().get("X-Load-Report"));
-            if (serves()) {
-                return new AttemptResult(Outcome.OK, sink == null ? ByteBufUtil.getBytes(held) : null, type(),
-                        load, false);
+            LoadReport load = parseLoadReport(head.headers().get("X-Load-Report"));
+            if (isServed()) {
+                return new AttemptResult(Outcome.OK, sink == null ? ByteBufUtil.getBytes(buffered) : null,
+                        contentType(), load, false);
             }
-            // Only this mark proves that the request never ran; any other status may come after its effect.
-            boolean turnedAway = (status.code() == 503 || status.code() == 504)
+            // Only this header proves that the request never ran; otherwise it may have taken effect.
+            boolean rejected = (status.code() == 503 || status.code() == 504)
                     && "1".equals(head.headers().get("X-Rejected"));
-            return new AttemptResult(turnedAway ? Outcome.FULL : Outcome.ERROR, null, null, load,
+            return new AttemptResult(rejected ? Outcome.FULL : Outcome.ERROR, null, null, load,
                     status.equals(HttpResponseStatus.BAD_REQUEST));
         }
 
-        /** No more of it is held, and none waited for. */
+        /** Releases the buffered body and cancels the timer of the buffering. */
         void release() {
-            held.release();
-            if (hold != null) {
-                hold.cancel(false);
+            buffered.release();
+            if (bufferingTimer != null) {
+                bufferingTimer.cancel(false);
             }
         }
     }
 
-    /** A connection to a backend, with at most one exchange on it. */
+    /** A connection to a backend, which carries at most one exchange at a time. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final InetSocketAddress address;
         private Channel channel;
-        private Exchange current;
-        /** The answer to the current exchange as far as it has come, or null. */
-        private Incoming incoming;
-        /** Between an interim answer's head and its end. */
-        private boolean interim;
-        /** The answer to the current exchange, until all that came with it has been read. */
+        private Exchange currentExchange;
+        /** The answer to the current exchange while it is being received; else null. */
+        private IncomingAnswer incoming;
+        /** True from the head of an interim (1xx) answer to its end. */
+        private boolean inInterimAnswer;
+        /** The complete answer to the current exchange, until the current read is complete; else null. */
         private AttemptResult answer;
+        /** Whether the connection can carry another exchange after the current one. */
         private boolean reusable;
-        private long idleSince;
-        private long restsUntil = System.nanoTime();
-        private Future<?> expiry;
+        private long idleSinceNs;
+        private long reusableFromNs = System.nanoTime();
+        private Future<?> expiryTimer;
 
         private Connection(InetSocketAddress address) {
             this.address = address;
         }
 
         /**
-         * Reads what the system has by now: where the loop is late, a second answer or the connection's end
-         * may lie unread, however long it has rested.
+         * Reads all bytes that the system has received by now. If the event loop is delayed, a second answer
+         * or the end of the connection may still be unread, even after the reuse delay.
          */
         private void readNow() {
             if (channel.isActive()) {
@@ -483,114 +523,125 @@
                 return;
             }
             if (object instanceof HttpResponse head) {
-                begin(head);
+                handleHead(head);
             }
             if (object instanceof HttpContent content) {
-                part(content);
+                handleContent(content);
             }
         }
 
-        /** Bytes that nobody asked for, or that make no sense: what follows can't be trusted. */
+        /**
+         * Closes the connection after unexpected or malformed bytes, since nothing after them can be
+         * attributed to a request.
+         */
         private void reject() {
             reusable = false;
             channel.close();
         }
 
-        private void begin(HttpResponse head) {
-            if (current == null || answer != null || incoming != null
+        /** Handles the head of an answer. */
+        private void handleHead(HttpResponse head) {
+            if (currentExchange == null || answer != null || incoming != null
                     || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)
                     || HttpFraming.hasUnsupportedTransferCoding(head)) {
-                // Nor is a body the backend's whose transfer coding is not undone here.
+                // This includes transfer codings other than chunked, which the proxy doesn't decode.
                 reject();
                 return;
             }
-            interim = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-            if (interim) {
+            inInterimAnswer = head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
+            if (inInterimAnswer) {
                 return;
             }
-            Incoming begun = new Incoming(head);
-            if (begun.serves() && begun.length > MOST_LARGE) {
-                begun.release();
+            IncomingAnswer received = new IncomingAnswer(head);
+            if (received.isServed() && received.length > MAX_BODY_BYTES) {
+                received.release();
                 reject();
                 return;
             }
-            incoming = begun;
+            incoming = received;
             reusable = HttpUtil.isKeepAlive(head);
-            if (incoming.serves() && incoming.length > MOST_BODY) {
-                pass();
+            if (incoming.isServed() && incoming.length > MAX_BUFFERED_BODY_BYTES) {
+                startForwarding();
             }
         }
 
-        private void part(HttpContent content) {
-            if (interim || incoming == null) {
-                interim &= !(content instanceof LastHttpContent);
+        /** Handles a part of an answer's body. */
+        private void handleContent(HttpContent content) {
+            if (inInterimAnswer || incoming == null) {
+                inInterimAnswer &= !(content instanceof LastHttpContent);
                 return;
             }
             int size = content.content().readableBytes();
-            if (!incoming.serves()) {
-                incoming.passed += size;
-                if (incoming.passed > MOST_BODY) {
-                    // Its head has told all; what follows is not worth the reading.
+            if (!incoming.isServed()) {
+                incoming.discardedBytes += size;
+                if (incoming.discardedBytes > MAX_BUFFERED_BODY_BYTES) {
+                    // Only the head is needed, and closing is cheaper than reading a large body.
                     reusable = false;
-                    complete();
+                    completeAnswer();
                     channel.close();
                     return;
                 }
             } else if (incoming.sink != null) {
-                send(content.content().retain());
+                forward(content.content().retain());
             } else if (size > 0) {
-                incoming.held.writeBytes(content.content());
-                if (incoming.held.readableBytes() > MOST_BODY) {
-                    pass();
-                } else if (incoming.length < 0 && incoming.hold == null
-                        && current.receiver.holdUs() >= 0) {
-                    incoming.hold = loop.schedule(this::passOn, current.receiver.holdUs(),
-                            TimeUnit.MICROSECONDS);
+                incoming.buffered.writeBytes(content.content());
+                if (incoming.buffered.readableBytes() > MAX_BUFFERED_BODY_BYTES) {
+                    startForwarding();
+                } else if (incoming.length < 0 && incoming.bufferingTimer == null
+                        && currentExchange.receiver.maxBufferingUs() >= 0) {
+                    incoming.bufferingTimer = loop.schedule(this::forwardAfterBuffering,
+                            currentExchange.receiver.maxBufferingUs(), TimeUnit.MICROSECONDS);
                 }
             }
             if (content instanceof LastHttpContent && incoming != null) {
-                complete();
+                completeAnswer();
             }
         }
 
-        private void complete() {
+        /** Handles the end of an answer's body. */
+        private void completeAnswer() {
             answer = incoming.answer();
             if (incoming.sink != null) {
-                incoming.sink.end();
+                incoming.sink.complete();
             }
             incoming.release();
             incoming = null;
         }
 
-        private void passOn() {
-            if (incoming != null && incoming.sink == null && current != null) {
-                pass();
+        /** Starts to forward an answer of unknown length whose buffering time is over. */
+        private void forwardAfterBuffering() {
+            if (incoming != null && incoming.sink == null && currentExchange != null) {
+                startForwarding();
                 if (incoming != null) {
                     incoming.sink.flush();
                 }
             }
         }
 
-        /** From now on the answer is handed on as it comes. */
-        private void pass() {
-            incoming.sink = current.receiver.began(current, incoming.type(), incoming.length);
+        /**
+         * Passes the buffered part of the answer to the receiver's sink; the rest follows as it is received.
+         */
+        private void startForwarding() {
+            incoming.sink = currentExchange.receiver.streamStarted(currentExchange, incoming.contentType(),
+                    incoming.length);
             if (incoming.sink == null) {
-                current.abandon();
-                forget();
+                currentExchange.cancel();
+                discardIncoming();
                 return;
             }
-            ByteBuf first = incoming.held;
-            incoming.held = Unpooled.EMPTY_BUFFER;
-            send(first);
+            ByteBuf bufferedBody = incoming.buffered;
+            incoming.buffered = Unpooled.EMPTY_BUFFER;
+            forward(bufferedBody);
         }
 
-        private void send(ByteBuf content) {
-            if (!incoming.sink.part(content)) {
+        private void forward(ByteBuf content) {
+            if (!incoming.sink.write(content)) {
                 channel.config().setAutoRead(false);
             }
         }
 
-        private void forget() {
+        /** Discards the answer that is being received. */
+        private void discardIncoming() {
             if (incoming != null) {
                 incoming.release();
                 incoming = null;
@@ -598,16 +649,17 @@
         }
 
         /**
-         * Only now is the answer told: whoever hears of it may send the next request on this connection, and
-         * that would be given what came behind the answer.
+         * Reports a complete answer only at the end of the read. The receiver may send the next request on
+         * this connection at once, and bytes that follow the answer would then be taken for the answer to
+         * that request.
          */
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
             if (answer != null) {
-                AttemptResult told = answer;
+                AttemptResult completed = answer;
                 answer = null;
                 channel.config().setAutoRead(true);
-                current.answered(told, reusable);
+                currentExchange.answerReceived(completed, reusable);
             } else if (incoming != null && incoming.sink != null) {
                 incoming.sink.flush();
             }
@@ -615,42 +667,47 @@
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            if (current != null && current.upload != null) {
-                current.upload.updateReading();
+            if (currentExchange != null && currentExchange.upload != null) {
+                currentExchange.upload.updateReading();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             channelReadComplete(context);
-            if (current != null) {
-                lost();
+            if (currentExchange != null) {
+                connectionLost();
             } else {
-                drop(this);
+                closeIdle(this);
             }
-            forget();
+            discardIncoming();
         }
 
-        private void lost() {
-            if (incoming != null && incoming.sink != null && !current.done) {
-                incoming.sink.broken();
+        /**
+         * Ends the current exchange after the connection was lost, and aborts an answer that is being
+         * forwarded.
+         */
+        private void connectionLost() {
+            if (incoming != null && incoming.sink != null && !currentExchange.done) {
+                incoming.sink.abort();
             }
-            forget();
-            current.lost();
+            discardIncoming();
+            currentExchange.connectionLost();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            if (current != null && answer == null) {
-                // A body without a length ends with the connection; but one that breaks has not ended.
-                lost();
+            if (currentExchange != null && answer == null) {
+                // A body without a declared length ends when the connection is closed. After an error it is
+                // incomplete instead, so the loss is reported before the close.
+                connectionLost();
             }
             context.close();
         }
     }
 
-    /** The body of an answer to a probe as text. */
-    static String text(byte[] body) {
+    /** Returns the body of an answer to a probe as text, or null if there is no body. */
+    static String asciiText(byte[] body) {
         return body == null ? null : new String(body, StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -38,119 +38,151 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Translates between sockets and the decision module: events in, actions out. It decides nothing but what the
- * protocol leaves no choice in. The module must not be called from within its own actions, so whatever
- * happens while it decides is told to it afterwards.
+ * Connects the proxy's sockets to the decision module: passes network events to the module and carries out
+ * the actions that the module calls. It takes no routing decision itself; it only applies limits that the
+ * protocol dictates. The module must not be called from within its own actions, so events that occur during
+ * such a call are queued and passed on afterwards.
  */
 final class Driver {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
     private static final Logger SHARED = LoggerFactory.getLogger("shared");
     private static final Logger DECISIONS = LoggerFactory.getLogger("decisions");
-    /** If nothing else was in time, a request is answered as failed so long before its client gives up. */
-    private static final long GUARD_US = 20_000;
-    /** An answer so long after its time is late; later still it is lost. */
+    /** A request that still has no answer this long before its deadline is answered as failed. */
+    private static final long DEADLINE_MARGIN_US = 20_000;
+    /** An answer later than this after its deadline violates {@link Rule#ANSWERED_IN_TIME}. */
     private static final long ANSWER_SLACK_US = 500_000;
-    /** The process may be held up for so long between reading its clock and writing. */
-    private static final long HELD_UP_US = 150_000;
-    /** Nothing is begun in this last part of a drain's grace: word of it was read later than told. */
-    private static final long GRACE_MARGIN_US = 100_000;
+    /** The process may be paused for up to this long between reading its clock and writing to a socket. */
+    private static final long MAX_PROCESS_PAUSE_US = 150_000;
+    /**
+     * No attempt starts in this last part of a drain's grace period. The period counts from the notice of the
+     * drain, which the proxy may read some time after it was sent.
+     */
+    private static final long DRAIN_GRACE_MARGIN_US = 100_000;
 
-    /** An answer of unknown length is held for this part of its aim, to see whether it is a large one. */
-    private static final int HOLD_PART = 10;
+    /**
+     * An answer of unknown length is buffered for its class's aim divided by this number, in case it is small
+     * enough to be sent as a whole.
+     */
+    private static final int BUFFERING_AIM_DIVISOR = 10;
 
-    /** Told once that an answer's last byte was written to its client's connection, or never will be. */
+    /**
+     * Notified exactly once for each answer: when its last byte has been written to the client's connection,
+     * or when it can no longer be written.
+     */
     @FunctionalInterface
     interface Delivery {
         void ended(boolean written);
     }
 
-    /** Where a request's final answer goes; exactly one of the methods is called, once. */
+    /**
+     * The client that waits for a request's final answer. Exactly one of the methods that take a
+     * {@link Delivery} is called, and only once.
+     */
     interface Client {
-        /** Whether the client is still there, by all that has come from it by now. */
-        boolean connected();
-
-        /** Whether its connection is open, by what was read of it so far. */
-        default boolean open() {
+        /**
+         * Returns whether the client is still connected, after reading all bytes that the system has received
+         * from it by now.
+         */
+        boolean isConnected();
+
+        /** Returns whether the client's connection is open, judged by the bytes read so far. */
+        default boolean isOpen() {
             return true;
         }
 
-        void served(byte[] body, String type, Delivery delivery);
+        void sendAnswer(byte[] body, String contentType, Delivery delivery);
 
-        /** The answer is a large one and comes in parts; its length is negative where it is not told. */
-        BackendPool.Sink begins(BackendPool.Exchange from, String type, long length, Delivery delivery);
+        /**
+         * Starts a large answer whose body follows in parts.
+         *
+         * @param length the length of the body in bytes; negative if the backend did not declare it
+         * @return the sink that takes the body
+         */
+        BackendPool.AnswerSink startStream(BackendPool.Exchange exchange, String contentType, long length,
+                Delivery delivery);
 
-        void refused(long retryAfterUs, Delivery delivery);
+        void sendRefusal(long retryAfterUs, Delivery delivery);
 
-        void failed(Delivery delivery);
+        void sendFailure(Delivery delivery);
     }
 
     /**
-     * A request as it came.
+     * A request as received from a client.
      *
-     * @param idempotencyKey null where it carries none
-     * @param body all of it; null where it is an upload
-     * @param upload a body too large to be held; null where there is none
-     * @param type the content type, or null
-     * @param takenAtUs when its last byte came
+     * @param idempotencyKey null if the request carries none
+     * @param body the complete body; null if the body is an upload
+     * @param upload a body that is too large to be buffered; null if there is none
+     * @param contentType the content type, or null
+     * @param timeLeftUs how long the client waits for the answer, from the request's last byte
+     * @param workUs the expected work on a standard core; 0 if unknown
+     * @param clientRetry whether the client marked the request as a retry
+     * @param receivedAtUs when the request's last byte was received
      */
     record Inbound(String callId, HttpMethod method, String uri, String idempotencyKey, byte[] body,
-            Upload upload, String type, int requestClass, int tenant, long timeLeftUs, long workUs,
-            boolean again, long takenAtUs) {
+            Upload upload, String contentType, int requestClass, int tenant, long timeLeftUs, long workUs,
+            boolean clientRetry, long receivedAtUs) {
 
-        /** The same request with its body, once that has come or begins to be passed on. */
-        Inbound with(byte[] whole, Upload passing, long atUs) {
-            return new Inbound(callId, method, uri, idempotencyKey, whole, passing, type, requestClass,
-                    tenant, timeLeftUs, workUs, again, atUs);
+        /**
+         * Returns the same request with its body: complete, or as an upload that is forwarded from now on.
+         */
+        Inbound withBody(byte[] completeBody, Upload forwardedUpload, long bodyReceivedAtUs) {
+            return new Inbound(callId, method, uri, idempotencyKey, completeBody, forwardedUpload,
+                    contentType, requestClass, tenant, timeLeftUs, workUs, clientRetry, bodyReceivedAtUs);
         }
     }
 
-    /** A backend as discovery last listed it. */
+    /** A backend as listed most recently by discovery. */
     private static final class Backend {
         InetSocketAddress address;
         ServerStatus status;
-        /** Its line as it was last told. */
-        Listing.Entry told;
-        /** Its line of the list, for a module that comes later; null for one not listed as up. */
-        Server listed;
-        /** When this proxy was told that it drains or is gone. */
+        /** The entry from the most recent list that contained the backend. */
+        Listing.Entry lastEntry;
+        /** The server as passed to the modules, kept for later modules; null unless it is listed as up. */
+        Server upServer;
+        /** When this proxy was notified that the backend is draining or gone. */
         long downSinceUs;
     }
 
-    /** What is in force for new requests. */
+    /** The settings that apply to new requests. */
     private Settings settings;
     private final Clock clock;
     private final EventLoop loop;
     private final BackendPool pool;
-    /** Until when servers rest, by the module's word. */
-    private final Map<String, Long> resting = new HashMap<>();
-    /** The module that takes new requests, and those before it that still hold some, oldest first. */
-    private Deciding newest;
-    private final List<Deciding> modules = new ArrayList<>();
+    /** The ejected servers, each with the time at which its ejection ends. */
+    private final Map<String, Long> ejectedUntilUs = new HashMap<>();
+    /** The module that takes new requests. */
+    private DecisionModule newestModule;
+    /** The newest module and the earlier ones that still have pending requests, oldest first. */
+    private final List<DecisionModule> modules = new ArrayList<>();
     private long seed;
-    /** Requests that have ended, and those of them not served, since the newest settings. */
-    private long requestsEnded;
+    /** The number of requests answered under the newest settings. */
+    private long requestsAnswered;
+    /** The number of those requests that were refused or failed. */
     private long requestsFailed;
     private final Map<String, Backend> backends = new HashMap<>();
-    /** All backends that were ever listed or called out. */
-    private final Set<String> known = new HashSet<>();
-    /** Backends that the operators called out: nothing goes to them, whatever lists say. */
-    private final Set<String> out = new HashSet<>();
+    /** All backends that were ever listed or in maintenance. */
+    private final Set<String> knownBackends = new HashSet<>();
+    /** Backends in maintenance: nothing is sent to them, whatever their status in the list. */
+    private final Set<String> inMaintenance = new HashSet<>();
     private final PendingRequests requests;
     private final HealthProbes probes;
-    private final StartTimes starts;
+    private final StartTimes startTimes;
     private final Invariants invariants = new Invariants();
-    private long lastId;
-    /** Requests that come from then on must have their answer by then, whatever time their clients give. */
-    private long boundFromUs = Long.MAX_VALUE;
-    private long answerByUs = Long.MAX_VALUE;
-    /** The latest time at which a request held so far is due. */
-    private long lastDueUs;
-    private boolean deciding;
-    private Runnable watch = () -> { };
-    /** Null where no metrics are kept. */
+    private long lastRequestId;
+    /** From this time on the deadlines of new requests are limited to {@link #deadlineLimitUs}. */
+    private long deadlineLimitFromUs = Long.MAX_VALUE;
+    /** The latest deadline of a request received at {@link #deadlineLimitFromUs} or later. */
+    private long deadlineLimitUs = Long.MAX_VALUE;
+    /** The latest deadline of all requests received so far. */
+    private long latestDeadlineUs;
+    /** True while {@link #runEvent} runs an event. */
+    private boolean handlingEvent;
+    /** Run when the newest module asks discovery to report changes. */
+    private Runnable watchAction = () -> { };
+    /** Null if metrics are disabled. */
     private final Meters meters;
-    /** Null where nothing is shared with other proxies. */
+    /** Null if no state is shared with other proxies. */
     private SharedState shared;
 
     Driver(Config config, Clock clock, EventLoop loop, BackendPool pool) {
@@ -160,21 +192,21 @@
     Driver(Config config, Clock clock, EventLoop loop, BackendPool pool, Meters meters) {
         this.meters = meters;
         this.settings = config.settings();
-        this.starts = new StartTimes(settings.rules().coldUs());
+        this.startTimes = new StartTimes(settings.rules().coldUs());
         this.clock = clock;
         this.requests = new PendingRequests(clock);
         this.loop = loop;
         this.pool = pool;
         this.probes = new HealthProbes(clock, loop, pool, config.hasLoadReports());
         this.seed = config.seed();
-        this.newest = new Deciding();
-        modules.add(newest);
+        this.newestModule = new DecisionModule();
+        modules.add(newestModule);
     }
 
-    /** One decision module, and what it may do. */
-    final class Deciding implements Actions {
+    /** A decision module together with the actions that it may call. */
+    final class DecisionModule implements Actions {
         final Balancer balancer = new Logic(settings, seed, this);
-        int requests;
+        int pendingRequests;
 
         @Override
         public void send(String request, String server, long timeoutUs) {
@@ -203,23 +235,23 @@
 
         @Override
         public void wakeAt(long atUs) {
-            // Never at once: a time already past would keep the loop turning in place.
+            // At least one tick later: with a time in the past the loop would otherwise spin.
             long delayUs = Math.max(settings.tickUs(), atUs - clock.nowUs());
-            loop.schedule(() -> enter(() -> balancer.timer(Math.max(atUs, clock.nowUs()))), delayUs,
+            loop.schedule(() -> runEvent(() -> balancer.timer(Math.max(atUs, clock.nowUs()))), delayUs,
                     TimeUnit.MICROSECONDS);
         }
 
         @Override
         public void watchServers() {
-            if (this == newest) {
-                loop.execute(watch);
+            if (this == newestModule) {
+                loop.execute(watchAction);
             }
         }
 
         @Override
         public void reportVerdict(String server, Verdict verdict, long untilUs) {
             if (verdict == Verdict.RESTS) {
-                resting.put(server, untilUs);
+                ejectedUntilUs.put(server, untilUs);
             }
             if (shared != null) {
                 SHARED.atDebug().addKeyValue("server", server).addKeyValue("verdict", verdict)
@@ -229,8 +261,8 @@
         }
 
         @Override
-        public void reportServerBudgetUse(String server, boolean spent) {
-            if (spent) {
+        public void reportServerBudgetUse(String server, boolean granted) {
+            if (granted) {
                 shared.serverSpent(server);
             } else {
                 shared.serverWanting(server);
@@ -238,9 +270,9 @@
         }
 
         @Override
-        public void reportClassBudgetUse(int requestClass, boolean spent) {
+        public void reportClassBudgetUse(int requestClass, boolean granted) {
             String name = settings.classes().get(requestClass).name();
-            if (spent) {
+            if (granted) {
                 shared.classSpent(name);
             } else {
                 shared.classWanting(name);
@@ -253,111 +285,120 @@
         }
     }
 
-    /** Tells all modules that still hold requests. */
-    private void all(Consumer<Balancer> event) {
-        for (Deciding module : List.copyOf(modules)) {
+    /** Passes an event to the newest module and to all earlier ones that still have pending requests. */
+    private void forEachModule(Consumer<Balancer> event) {
+        for (DecisionModule module : List.copyOf(modules)) {
             event.accept(module.balancer);
         }
     }
 
     /**
-     * From now on new requests are decided on by a new module with these settings; those held stay with
-     * theirs. Classes and tenants must be the ones there are, by number.
+     * Creates a module with these settings for all new requests; pending requests stay with their modules.
+     * The settings must have the same classes and tenants, in the same order, as the current ones.
      */
-    void adopt(Settings next) {
-        enter(() -> {
-            settings = next;
-            requestsEnded = 0;
+    void applySettings(Settings newSettings) {
+        runEvent(() -> {
+            settings = newSettings;
+            requestsAnswered = 0;
             requestsFailed = 0;
             seed++;
-            newest = new Deciding();
-            modules.removeIf(module -> module.requests == 0);
-            modules.add(newest);
-            List<Server> servers = backends.values().stream().filter(b -> b.listed != null)
-                    .map(b -> b.listed).toList();
-            newest.balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, servers);
-            out.forEach(server -> newest.balancer.maintenanceChanged(clock.nowUs(), server, true));
+            newestModule = new DecisionModule();
+            modules.removeIf(module -> module.pendingRequests == 0);
+            modules.add(newestModule);
+            List<Server> servers = backends.values().stream().filter(b -> b.upServer != null)
+                    .map(b -> b.upServer).toList();
+            newestModule.balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, servers);
+            inMaintenance.forEach(
+                    server -> newestModule.balancer.maintenanceChanged(clock.nowUs(), server, true));
             if (shared != null) {
                 loop.execute(shared::renew);
             }
         });
     }
 
-    /** Servers that the module rests now. */
-    List<String> resting() {
-        long now = clock.nowUs();
-        resting.values().removeIf(untilUs -> untilUs <= now);
-        return List.copyOf(resting.keySet());
+    /** Returns the servers that are ejected at present. */
+    List<String> ejectedServers() {
+        long nowUs = clock.nowUs();
+        ejectedUntilUs.values().removeIf(endUs -> endUs <= nowUs);
+        return List.copyOf(ejectedUntilUs.keySet());
     }
 
-    /** Requests that have ended since the newest settings came. */
-    long requestsEnded() {
-        return requestsEnded;
+    /** Returns the number of requests answered under the newest settings. */
+    long requestsAnswered() {
+        return requestsAnswered;
     }
 
-    /** Those of them that were not served, and whose clients had not gone. */
+    /**
+     * Returns how many of the requests answered under the newest settings were refused or failed. Requests
+     * whose clients had gone are not counted.
+     */
     long requestsFailed() {
         return requestsFailed;
     }
 
-    /** What to do when the module asks for changes to the list. */
-    void onWatch(Runnable action) {
-        watch = action;
+    /** Sets the action to run when the module asks discovery to report changes of the list. */
+    void onWatchRequested(Runnable action) {
+        watchAction = action;
     }
 
-    /** From now on the module's verdicts and spendings are shared, and others' reach it. */
-    void share(SharedState state) {
+    /**
+     * Starts to share the module's verdicts and budget use with other proxies, and to pass theirs to the
+     * module.
+     */
+    void shareState(SharedState state) {
         shared = state;
         loop.execute(state::start);
     }
 
-    /** What the module is told of what others hold; see {@link SharedState.Module}. */
-    final class FromPeers implements SharedState.Module {
+    /** Passes the state received from other proxies to the decision module. */
+    final class PeerStateListener implements SharedState.Module {
         @Override
         public void verdict(String server, Verdict verdict, long untilMs) {
             SHARED.atDebug().addKeyValue("server", server).addKeyValue("verdict", verdict)
                     .addKeyValue("until_ms", untilMs).log("a peer's verdict");
-            enter(() -> all(b -> b.peerVerdict(clock.nowUs(), server, verdict, untilMs * 1000)));
+            runEvent(() -> forEachModule(b -> b.peerVerdict(clock.nowUs(), server, verdict, untilMs * 1000)));
         }
 
         @Override
         public void serverBudget(String server, long left, long untilMs) {
-            // The newest alone: two modules with the same tokens would spend them twice.
-            enter(() -> newest.balancer.serverBudgetChanged(clock.nowUs(), server, left, untilMs * 1000));
+            // Only to the newest module: two modules with the same tokens would spend them twice.
+            runEvent(() -> newestModule.balancer.serverBudgetChanged(clock.nowUs(), server, left,
+                    untilMs * 1000));
         }
 
         @Override
         public void classBudget(String name, long left, long untilMs) {
-            enter(() -> newest.balancer.classBudgetChanged(clock.nowUs(), classNumber(name), left,
+            runEvent(() -> newestModule.balancer.classBudgetChanged(clock.nowUs(), classIndex(name), left,
                     untilMs * 1000));
         }
 
         @Override
         public void affinity(String name, Collection<String> servers) {
-            enter(() -> newest.balancer.affinityChanged(clock.nowUs(), classNumber(name), servers));
+            runEvent(() -> newestModule.balancer.affinityChanged(clock.nowUs(), classIndex(name), servers));
         }
     }
 
-    /** What comes of attempts. */
-    private final UpstreamAttempt.Listener attempts = new UpstreamAttempt.Listener() {
+    /** Receives the results of attempts. */
+    private final UpstreamAttempt.Listener attemptListener = new UpstreamAttempt.Listener() {
         @Override
-        public BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
-                long length) {
-            return Driver.this.answerBegan(attempt, from, type, length);
+        public BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange exchange,
+                String contentType, long length) {
+            return Driver.this.streamStarted(attempt, exchange, contentType, length);
         }
 
         @Override
-        public long holdUs(UpstreamAttempt attempt) {
-            return settings.classes().get(attempt.request.inbound.requestClass()).aimUs() / HOLD_PART;
+        public long maxBufferingUs(UpstreamAttempt attempt) {
+            return settings.classes().get(attempt.request.inbound.requestClass()).aimUs()
+                    / BUFFERING_AIM_DIVISOR;
         }
 
         @Override
-        public void ended(UpstreamAttempt attempt, AttemptResult answer) {
-            Driver.this.ended(attempt, answer);
+        public void attemptEnded(UpstreamAttempt attempt, AttemptResult answer) {
+            Driver.this.attemptEnded(attempt, answer);
         }
     };
 
-    private int classNumber(String name) {
+    private int classIndex(String name) {
         return settings.classes().stream().map(RequestClass::name).toList().indexOf(name);
     }
 
@@ -365,303 +406,329 @@
         return clock;
     }
 
-    /** What is checked at run time. */
+    /** Returns the invariants that are checked at run time. */
     Invariants invariants() {
         return invariants;
     }
 
-    /** Whether every request that was taken has ended. */
+    /** Returns whether every request received so far has ended. */
     boolean isIdle() {
         return requests.isEmpty();
     }
 
-    /** Requests whose clients wait for an answer past their deadline: there must never be any. */
-    List<PendingRequest> overdue() {
+    /** Returns the requests past their deadlines whose clients still wait; there must never be any. */
+    List<PendingRequest> requestsPastDeadline() {
         return requests.pastDeadline();
     }
 
-    /** Writes what has not ended to the log, at level debug. */
+    /** Logs all requests that have not ended, at level debug. */
     void logPending(String why) {
         requests.logAll(why);
     }
 
-    /** Whether some backend could be sent a request. */
+    /** Returns whether at least one backend is listed as up and not in maintenance. */
     boolean canServe() {
         return backends.entrySet().stream()
-                .anyMatch(b -> b.getValue().status == ServerStatus.UP && !out.contains(b.getKey()));
+                .anyMatch(b -> b.getValue().status == ServerStatus.UP && !inMaintenance.contains(b.getKey()));
     }
 
-    /** Whether the backend was ever listed or called out. */
-    boolean knows(String backend) {
-        return known.contains(backend);
+    /** Returns whether the backend was ever listed or in maintenance. */
+    boolean isKnown(String backend) {
+        return knownBackends.contains(backend);
     }
 
-    /** The backends that are called out. */
-    Set<String> out() {
-        return Set.copyOf(out);
+    /** Returns the backends in maintenance. */
+    Set<String> backendsInMaintenance() {
+        return Set.copyOf(inMaintenance);
     }
 
     // ---- events
 
     /**
-     * A list came, or changes of it.
+     * Applies a list of backends, or changes to it, received from discovery. Times are by the driver's clock.
      *
-     * @param toldUs since when what it tells may count as told, by the driver's clock
-     * @param currentUs when the list held before was known to be current, likewise; the least value where it
-     *     never was
+     * @param notifiedAtUs the earliest time at which this proxy may count as notified of the changes
+     * @param previousListCurrentUs when the previous list was last known to be current;
+     *     {@link Long#MIN_VALUE} if it never was
      */
-    void listChanged(ListKind kind, List<Listing.Entry> entries, long toldUs, long currentUs) {
+    void listChanged(ListKind kind, List<Listing.Entry> entries, long notifiedAtUs,
+            long previousListCurrentUs) {
         if (shared != null) {
-            // Before the module sees a cold server, it must know what it may send there.
+            // First, because the module needs the budget of a cold server before it sees the server.
             shared.listed(kind == ListKind.CHANGES, entries.stream().map(Listing.Entry::server).toList());
         }
-        enter(() -> {
-            long now = clock.nowUs();
-            // Also as a whole list only what differs costs anything; the first tells all there is.
-            ListKind applied = kind == ListKind.REMEMBERED ? kind : ListKind.CHANGES;
-            List<Listing.Entry> differing = kind == ListKind.WHOLE ? difference(entries) : entries;
-            List<Server> moved = new ArrayList<>();
-            List<Server> servers = new ArrayList<>(starts.toLocalClock(now, kind,
-                    differing.stream().map(Listing.Entry::server).toList(), currentUs, moved));
-            List<String> gone = new ArrayList<>();
+        runEvent(() -> {
+            long nowUs = clock.nowUs();
+            // A full list is reduced to its differences from the previous one, to save work in the modules.
+            ListKind appliedKind = kind == ListKind.REMEMBERED ? kind : ListKind.CHANGES;
+            List<Listing.Entry> differing = kind == ListKind.WHOLE ? differences(entries) : entries;
+            List<Server> movedServers = new ArrayList<>();
+            List<Server> servers = new ArrayList<>(startTimes.toLocalClock(nowUs, kind,
+                    differing.stream().map(Listing.Entry::server).toList(), previousListCurrentUs,
+                    movedServers));
+            List<String> goneServers = new ArrayList<>();
             for (int i = 0; i < differing.size(); i++) {
                 Server server = servers.get(i);
-                known.add(server.id());
-                Backend b = backends.computeIfAbsent(server.id(), id -> new Backend());
-                b.told = differing.get(i);
-                b.address = b.told.address() == null ? b.address : b.told.address();
-                b.listed = server.status() == ServerStatus.UP ? server : null;
-                down(toldUs, b, server.status());
+                knownBackends.add(server.id());
+                Backend backend = backends.computeIfAbsent(server.id(), id -> new Backend());
+                backend.lastEntry = differing.get(i);
+                backend.address = backend.lastEntry.address() == null ? backend.address
+                        : backend.lastEntry.address();
+                backend.upServer = server.status() == ServerStatus.UP ? server : null;
+                updateStatus(notifiedAtUs, backend, server.status());
                 if (server.status() == ServerStatus.GONE) {
-                    gone.add(server.id());
+                    goneServers.add(server.id());
                 }
             }
-            for (Server later : moved) {
-                Backend b = backends.get(later.id());
-                if (applied == ListKind.CHANGES && b != null && b.listed != null) {
-                    b.listed = later;
-                    servers.add(later);
+            for (Server movedServer : movedServers) {
+                Backend backend = backends.get(movedServer.id());
+                if (appliedKind == ListKind.CHANGES && backend != null && backend.upServer != null) {
+                    backend.upServer = movedServer;
+                    servers.add(movedServer);
                 }
             }
-            all(balancer -> balancer.serversChanged(now, applied, servers));
-            gone.forEach(this::endConnecting);
-            gone.forEach(backends::remove);
-            resting.keySet().retainAll(backends.keySet());
+            forEachModule(balancer -> balancer.serversChanged(nowUs, appliedKind, servers));
+            goneServers.forEach(this::cancelUnsent);
+            goneServers.forEach(backends::remove);
+            ejectedUntilUs.keySet().retainAll(backends.keySet());
             if (shared != null) {
                 loop.execute(shared::known);
             }
             if (meters != null) {
-                meters.listed(kind == ListKind.WHOLE, backends.keySet());
+                meters.listReceived(kind == ListKind.WHOLE, backends.keySet());
             }
-            retire();
+            updateUnpooledAddresses();
         });
     }
 
-    /** What a whole list tells that was not told before; what it does not name is gone. */
-    private List<Listing.Entry> difference(List<Listing.Entry> whole) {
+    /**
+     * Returns the entries of a full list that differ from the known backends, and an entry with status GONE
+     * for each known backend that the list does not contain.
+     */
+    private List<Listing.Entry> differences(List<Listing.Entry> fullList) {
         List<Listing.Entry> differing = new ArrayList<>();
-        Set<String> named = new HashSet<>();
-        for (Listing.Entry entry : whole) {
-            named.add(entry.server().id());
-            Backend b = backends.get(entry.server().id());
-            if (b == null || !entry.equals(b.told)) {
+        Set<String> listedIds = new HashSet<>();
+        for (Listing.Entry entry : fullList) {
+            listedIds.add(entry.server().id());
+            Backend backend = backends.get(entry.server().id());
+            if (backend == null || !entry.equals(backend.lastEntry)) {
                 differing.add(entry);
             }
         }
-        backends.forEach((id, b) -> {
-            if (!named.contains(id)) {
-                differing.add(b.told.asGone());
+        backends.forEach((id, backend) -> {
+            if (!listedIds.contains(id)) {
+                differing.add(backend.lastEntry.asGone());
             }
         });
         return differing;
     }
 
-    /** The operator's call about a backend: from now on it is left out, or may serve again. */
-    void maintenance(String server, boolean leave) {
-        if (!(leave ? out.add(server) : out.remove(server))) {
+    /** Puts a backend into maintenance or ends its maintenance, at the operator's command. */
+    void setMaintenance(String server, boolean enabled) {
+        if (!(enabled ? inMaintenance.add(server) : inMaintenance.remove(server))) {
             return;
         }
-        known.add(server);
-        retire();
-        if (leave) {
-            endConnecting(server);
+        knownBackends.add(server);
+        updateUnpooledAddresses();
+        if (enabled) {
+            cancelUnsent(server);
         }
-        enter(() -> all(balancer -> balancer.maintenanceChanged(clock.nowUs(), server, leave)));
+        runEvent(() -> forEachModule(
+                balancer -> balancer.maintenanceChanged(clock.nowUs(), server, enabled)));
     }
 
-    /** Ends an attempt that is out; the module hears of it once what goes on now is over. */
-    private void callOff(UpstreamAttempt attempt, Outcome outcome) {
-        attempt.abandon();
-        loop.execute(() -> ended(attempt, AttemptResult.of(outcome)));
+    /** Cancels an attempt and reports its outcome to the module in a later task of the event loop. */
+    private void cancelAndReport(UpstreamAttempt attempt, Outcome outcome) {
+        attempt.cancelExchange();
+        loop.execute(() -> attemptEnded(attempt, AttemptResult.of(outcome)));
     }
 
-    private void retire() {
-        pool.retire(out.stream().map(backends::get).filter(b -> b != null && b.address != null)
-                .map(b -> b.address).collect(Collectors.toSet()));
+    /** Tells the pool to keep no connections to backends in maintenance. */
+    private void updateUnpooledAddresses() {
+        pool.setUnpooledAddresses(inMaintenance.stream().map(backends::get)
+                .filter(b -> b != null && b.address != null).map(b -> b.address)
+                .collect(Collectors.toSet()));
     }
 
-    /** Ends what is on its way to a backend and has not begun. */
-    private void endConnecting(String server) {
-        List<UpstreamAttempt> connecting = requests.all().stream()
+    /** Cancels the attempts and probes for a backend of which no byte has been sent yet. */
+    private void cancelUnsent(String server) {
+        List<UpstreamAttempt> unsent = requests.all().stream()
                 .flatMap(pending -> pending.attempts.stream())
-                .filter(attempt -> !attempt.ended && attempt.server.equals(server) && !attempt.begun())
+                .filter(attempt -> !attempt.ended && attempt.server.equals(server) && !attempt.hasStarted())
                 .toList();
-        connecting.forEach(attempt -> callOff(attempt, Outcome.NOT_SENT));
-        probes.endConnecting(server);
+        unsent.forEach(attempt -> cancelAndReport(attempt, Outcome.NOT_SENT));
+        probes.cancelUnsent(server);
     }
 
-    private static void down(long toldUs, Backend b, ServerStatus status) {
-        if (status != ServerStatus.UP && (b.status == null || b.status == ServerStatus.UP)) {
-            b.downSinceUs = toldUs;
+    private static void updateStatus(long notifiedAtUs, Backend backend, ServerStatus status) {
+        if (status != ServerStatus.UP && (backend.status == null || backend.status == ServerStatus.UP)) {
+            backend.downSinceUs = notifiedAtUs;
         }
-        b.status = status;
+        backend.status = status;
     }
 
     void discoveryFailed() {
         if (meters != null) {
             meters.discoveryFailed();
         }
-        enter(() -> newest.balancer.discoveryFailed(clock.nowUs()));
+        runEvent(() -> newestModule.balancer.discoveryFailed(clock.nowUs()));
     }
 
-    /** Takes a request over from a client. */
-    PendingRequest request(Inbound inbound, Client client) {
-        long now = clock.nowUs();
-        long deadlineUs = dueUs(inbound.takenAtUs(), inbound);
-        PendingRequest pending = new PendingRequest(Long.toString(++lastId), inbound, client, now,
-                deadlineUs, newest);
+    /** Accepts a request from a client and passes it to the newest module. */
+    PendingRequest submit(Inbound inbound, Client client) {
+        long nowUs = clock.nowUs();
+        long deadlineUs = deadlineUs(inbound.receivedAtUs(), inbound);
+        PendingRequest pending = new PendingRequest(Long.toString(++lastRequestId), inbound, client, nowUs,
+                deadlineUs, newestModule);
         requests.add(pending);
-        pending.module.requests++;
+        pending.module.pendingRequests++;
         if (LOG.isDebugEnabled()) {
             LOG.atDebug().addKeyValue("request", inbound.callId())
-                    .addKeyValue("read_us_ago", now - inbound.takenAtUs())
-                    .addKeyValue("left_ms", (deadlineUs - now) / 1000).log("request taken");
+                    .addKeyValue("read_us_ago", nowUs - inbound.receivedAtUs())
+                    .addKeyValue("left_ms", (deadlineUs - nowUs) / 1000).log("request taken");
         }
         if (inbound.upload() == null) {
-            armGuard(pending, now);
+            startFailureTimer(pending, nowUs);
         } else {
-            inbound.upload().onNotRepeatable(() -> enter(
+            inbound.upload().onNotRepeatable(() -> runEvent(
                     () -> pending.module.balancer.bodyDiscarded(clock.nowUs(), pending.id)));
         }
-        enter(() -> {
+        runEvent(() -> {
             try {
                 pending.module.balancer.request(clock.nowUs(), new Request(pending.id, inbound.requestClass(),
                         inbound.tenant(), Math.max(0, deadlineUs - clock.nowUs()), inbound.workUs(),
-                        inbound.again(), pending.isUploading()));
+                        inbound.clientRetry(), pending.isUploading()));
             } catch (RuntimeException e) {
-                fault(pending, e);
+                failAfterException(pending, e);
             }
         });
         return pending;
     }
 
-    /** The process may be ended at that time: requests that come from then on have an answer by it. */
-    void answerBy(long fromUs, long atUs) {
-        boundFromUs = fromUs;
-        answerByUs = atUs;
-        lastDueUs = Math.max(lastDueUs, atUs);
+    /**
+     * Limits deadlines ahead of a shutdown, in which the process may be killed at any time after
+     * {@code maxDeadlineUs}: requests received at {@code fromUs} or later get that time as their deadline
+     * at the latest.
+     */
+    void limitDeadlines(long fromUs, long maxDeadlineUs) {
+        deadlineLimitFromUs = fromUs;
+        deadlineLimitUs = maxDeadlineUs;
+        latestDeadlineUs = Math.max(latestDeadlineUs, maxDeadlineUs);
     }
 
-    /** By then every request taken so far is answered, large bodies on their way apart. */
-    long lastDueUs() {
-        return lastDueUs;
+    /**
+     * Returns the latest deadline of all requests received so far. By then each is answered, except for those
+     * whose large bodies are still being transferred.
+     */
+    long latestDeadlineUs() {
+        return latestDeadlineUs;
     }
 
-    /** When a request is due whose last byte came at that time. */
-    private long dueUs(long takenAtUs, Inbound inbound) {
-        long dueUs = takenAtUs + inbound.timeLeftUs();
-        if (clock.nowUs() >= boundFromUs) {
-            dueUs = Math.min(dueUs, answerByUs);
+    /** Returns the deadline of a request whose last byte was received at {@code receivedAtUs}. */
+    private long deadlineUs(long receivedAtUs, Inbound inbound) {
+        long deadlineUs = receivedAtUs + inbound.timeLeftUs();
+        if (clock.nowUs() >= deadlineLimitFromUs) {
+            deadlineUs = Math.min(deadlineUs, deadlineLimitUs);
         }
-        lastDueUs = Math.max(lastDueUs, dueUs);
-        return dueUs;
+        latestDeadlineUs = Math.max(latestDeadlineUs, deadlineUs);
+        return deadlineUs;
     }
 
-    private void armGuard(PendingRequest pending, long now) {
-        pending.failureTimer = loop.schedule(() -> guard(pending),
-                Math.max(0, pending.deadlineUs - GUARD_US - now), TimeUnit.MICROSECONDS);
+    /** Starts the timer that fails the request shortly before its deadline, if it has no answer by then. */
+    private void startFailureTimer(PendingRequest pending, long nowUs) {
+        pending.failureTimer = loop.schedule(() -> failBeforeDeadline(pending),
+                Math.max(0, pending.deadlineUs - DEADLINE_MARGIN_US - nowUs), TimeUnit.MICROSECONDS);
     }
 
-    /** The last byte of an upload has come: from now on the request's time runs. */
-    void uploaded(PendingRequest pending) {
+    /** Handles the last byte of an upload: the request's deadline and time-outs count from now on. */
+    void uploadCompleted(PendingRequest pending) {
         if (pending.isAnswered() || !pending.isUploading()) {
             return;
         }
-        long now = clock.nowUs();
-        pending.uploadCompletedUs = now;
-        pending.deadlineUs = dueUs(now, pending.inbound);
-        armGuard(pending, now);
-        pending.attempts.stream().filter(attempt -> !attempt.ended).forEach(attempt -> limit(attempt, now,
-                pending.deadlineUs));
-        enter(() -> pending.module.balancer.uploadCompleted(clock.nowUs(), pending.id));
+        long nowUs = clock.nowUs();
+        pending.uploadCompletedUs = nowUs;
+        pending.deadlineUs = deadlineUs(nowUs, pending.inbound);
+        startFailureTimer(pending, nowUs);
+        pending.attempts.stream().filter(attempt -> !attempt.ended)
+                .forEach(attempt -> scheduleTimeout(attempt, nowUs, pending.deadlineUs));
+        runEvent(() -> pending.module.balancer.uploadCompleted(clock.nowUs(), pending.id));
     }
 
-    private void limit(UpstreamAttempt attempt, long now, long untilUs) {
-        attempt.untilUs = untilUs;
-        attempt.timeout = loop.schedule(() -> timedOut(attempt), untilUs - now, TimeUnit.MICROSECONDS);
+    /** Schedules the time-out of an attempt. */
+    private void scheduleTimeout(UpstreamAttempt attempt, long nowUs, long timeoutAtUs) {
+        attempt.timeoutAtUs = timeoutAtUs;
+        attempt.timeout = loop.schedule(() -> timedOut(attempt), timeoutAtUs - nowUs, TimeUnit.MICROSECONDS);
     }
 
-    /** The client has closed its connection. */
+    /** Handles the close of the client's connection. */
     void clientGone(PendingRequest pending) {
         if (pending.answeringAttempt != null && !pending.answeringAttempt.ended) {
-            pending.answeringAttempt.abandon();
-            ended(pending.answeringAttempt, AttemptResult.of(Outcome.CANCELLED));
+            pending.answeringAttempt.cancelExchange();
+            attemptEnded(pending.answeringAttempt, AttemptResult.of(Outcome.CANCELLED));
         } else if (!pending.isAnswered()) {
-            finish(pending, Meters.Result.GONE);
-            enter(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
-            endIfDone(pending);
+            recordResult(pending, Meters.Result.GONE);
+            runEvent(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
+            removeIfEnded(pending);
         }
     }
 
-    /** All else is late: the client is answered while it waits; what comes later only informs the module. */
-    private void guard(PendingRequest pending) {
+    /**
+     * Answers a request as failed because no answer was given shortly before its deadline. The outcomes of
+     * its attempts are still passed to the module.
+     */
+    private void failBeforeDeadline(PendingRequest pending) {
         if (!pending.isAnswered()) {
-            boolean waits = pending.openAttempts == 0;
-            finish(pending, Meters.Result.FAILED);
-            pending.client.failed(delivery(pending));
-            if (waits) {
-                // Else the module might yet send it, and would wait for that attempt's end for ever.
-                enter(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
+            boolean noAttemptPending = pending.openAttempts == 0;
+            recordResult(pending, Meters.Result.FAILED);
+            pending.client.sendFailure(delivery(pending));
+            if (noAttemptPending) {
+                // Otherwise the module might still send it, and would wait forever for that attempt's end.
+                runEvent(() -> pending.module.balancer.clientGone(clock.nowUs(), pending.id));
             }
         }
     }
 
-    /** A large answer begins: the client has it from here on, and nothing else ends the request any more. */
-    private BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
-            long length) {
+    /**
+     * Starts to forward a large answer to the client. From now on only the end of this answer, or of the
+     * client's connection, ends the request.
+     *
+     * @return the sink for the answer's body; null if the request has been answered already
+     */
+    private BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange exchange,
+            String contentType, long length) {
         PendingRequest pending = attempt.request;
         if (attempt.ended || pending.isAnswered()) {
-            ended(attempt, AttemptResult.of(Outcome.CANCELLED));
+            attemptEnded(attempt, AttemptResult.of(Outcome.CANCELLED));
             return null;
         }
         pending.answeringAttempt = attempt;
-        finish(pending, Meters.Result.SERVED);
+        recordResult(pending, Meters.Result.SERVED);
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
-        long now = clock.nowUs();
-        enter(() -> pending.module.balancer.streamStarted(now, pending.id, attempt.number, attempt.server,
-                now - begunAtUs(attempt)));
-        return pending.client.begins(from, type, length, delivery(pending));
+        long nowUs = clock.nowUs();
+        runEvent(() -> pending.module.balancer.streamStarted(nowUs, pending.id, attempt.number,
+                attempt.server, nowUs - processableSinceUs(attempt)));
+        return pending.client.startStream(exchange, contentType, length, delivery(pending));
     }
 
-    /** When the server could begin: with the last byte of the request. */
-    private static long begunAtUs(UpstreamAttempt attempt) {
+    /** Returns when the server could start to process the attempt: when the request's last byte was sent. */
+    private static long processableSinceUs(UpstreamAttempt attempt) {
         return attempt.request.isUploading() ? attempt.sentAtUs
                 : Math.max(attempt.sentAtUs, attempt.request.uploadCompletedUs);
     }
 
-    private void ended(UpstreamAttempt attempt, AttemptResult answer) {
+    private void attemptEnded(UpstreamAttempt attempt, AttemptResult answer) {
         if (attempt.ended) {
             return;
         }
-        attempt.end(answer.outcome());
+        attempt.markEnded(answer.outcome());
         PendingRequest pending = attempt.request;
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
         if (meters != null) {
-            meters.attempted(attempt.server, attempt.number, answer.outcome(),
+            meters.attemptEnded(attempt.server, attempt.number, answer.outcome(),
                     Math.max(0, clock.nowUs() - attempt.sentAtUs));
         }
         if (LOG.isDebugEnabled()) {
@@ -669,99 +736,109 @@
                     .addKeyValue("attempt", attempt.number).addKeyValue("backend", attempt.server)
                     .addKeyValue("outcome", answer.outcome()).log("attempt ended");
         }
-        enter(() -> {
+        runEvent(() -> {
             pending.openAttempts--;
             if (answer.outcome() == Outcome.OK && !pending.isAnswered()) {
-                finish(pending, Meters.Result.SERVED);
-                pending.client.served(answer.body(), answer.contentType(), delivery(pending));
+                recordResult(pending, Meters.Result.SERVED);
+                pending.client.sendAnswer(answer.body(), answer.contentType(), delivery(pending));
             }
-            long now = clock.nowUs();
+            long nowUs = clock.nowUs();
             try {
                 if (answer.invalidRequest()) {
-                    withdraw(now, pending);
+                    failMalformed(nowUs, pending);
                 }
-                pending.module.balancer.outcome(now, pending.id, attempt.number, attempt.server,
+                pending.module.balancer.outcome(nowUs, pending.id, attempt.number, attempt.server,
                         answer.invalidRequest() ? Outcome.CANCELLED : answer.outcome(),
-                        now - begunAtUs(attempt), pending.isAnswered(), answer.report());
+                        nowUs - processableSinceUs(attempt), pending.isAnswered(), answer.report());
             } catch (RuntimeException e) {
-                fault(pending, e);
+                failAfterException(pending, e);
             }
-            endIfDone(pending);
+            removeIfEnded(pending);
         });
     }
 
-    /** What no client sent is failed; it speaks neither against the backend nor for another attempt. */
-    private void withdraw(long now, PendingRequest pending) {
+    /**
+     * Fails a request that the backend rejected as malformed. This counts as no failure of the backend, and
+     * the request is not retried.
+     */
+    private void failMalformed(long nowUs, PendingRequest pending) {
         if (!pending.isAnswered()) {
-            finish(pending, Meters.Result.FAILED);
-            pending.client.failed(delivery(pending));
-            pending.module.balancer.clientGone(now, pending.id);
+            recordResult(pending, Meters.Result.FAILED);
+            pending.client.sendFailure(delivery(pending));
+            pending.module.balancer.clientGone(nowUs, pending.id);
         }
     }
 
-    private void fault(PendingRequest pending, RuntimeException e) {
+    /** Fails a request for which the module threw an exception. */
+    private void failAfterException(PendingRequest pending, RuntimeException e) {
         LOG.atError().addKeyValue("request", pending.inbound.callId()).setCause(e).log("request failed");
         fail(pending.id);
     }
 
-    /** Its answer is given, or its client has gone; who calls this has the answer written. */
-    private void finish(PendingRequest pending, Meters.Result result) {
-        long now = clock.nowUs();
+    /**
+     * Records that a request is answered or that its client has gone. The caller writes the answer to the
+     * client's connection.
+     */
+    private void recordResult(PendingRequest pending, Meters.Result result) {
+        long nowUs = clock.nowUs();
         invariants.check(result == Meters.Result.GONE || pending.isUploading()
-                || now <= Math.max(pending.deadlineUs, pending.dispatchedUs) + ANSWER_SLACK_US,
+                || nowUs <= Math.max(pending.deadlineUs, pending.dispatchedUs) + ANSWER_SLACK_US,
                 Rule.ANSWERED_IN_TIME,
-                pending.inbound.callId(), () -> pending.describe(now));
-        pending.recordAnswer(result, now);
-        if (pending.module == newest && result != Meters.Result.GONE) {
-            requestsEnded++;
+                pending.inbound.callId(), () -> pending.describe(nowUs));
+        pending.recordAnswer(result, nowUs);
+        if (pending.module == newestModule && result != Meters.Result.GONE) {
+            requestsAnswered++;
             requestsFailed += result == Meters.Result.SERVED ? 0 : 1;
         }
         if (meters != null) {
-            meters.answered(pending.inbound.requestClass(), result,
-                    Math.max(0, clock.nowUs() - pending.inbound.takenAtUs()));
+            meters.requestAnswered(pending.inbound.requestClass(), result,
+                    Math.max(0, clock.nowUs() - pending.inbound.receivedAtUs()));
         }
         if (pending.failureTimer != null) {
             pending.failureTimer.cancel(false);
         }
         if (pending.isUploading()) {
-            // No time-out runs on what will never be whole.
+            // The upload will never be complete, and its attempts have no time-out that would end them.
             pending.attempts.stream()
                     .filter(attempt -> !attempt.ended && attempt != pending.answeringAttempt)
-                    .forEach(attempt -> callOff(attempt, Outcome.CANCELLED));
+                    .forEach(attempt -> cancelAndReport(attempt, Outcome.CANCELLED));
         }
     }
 
-    /** What is to be told once the answer has left, or can't any more. */
+    /** Returns the listener that ends the request once its answer is written or can't be written any more. */
     private Delivery delivery(PendingRequest pending) {
         return written -> {
             if (!written && LOG.isDebugEnabled()) {
                 LOG.atDebug().addKeyValue("request", pending.inbound.callId()).log("answer not written");
             }
             pending.markDelivered();
-            endIfDone(pending);
+            removeIfEnded(pending);
         };
     }
 
-    private void endIfDone(PendingRequest pending) {
-        if (requests.removeIfEnded(pending) && --pending.module.requests == 0 && pending.module != newest) {
+    /** Removes the request once it has ended, and its module if that was an earlier one's last request. */
+    private void removeIfEnded(PendingRequest pending) {
+        if (requests.removeIfEnded(pending) && --pending.module.pendingRequests == 0
+                && pending.module != newestModule) {
             modules.remove(pending.module);
         }
     }
 
-    /** Calls the module, or does so as soon as it has finished deciding. */
-    private void enter(Runnable event) {
-        if (deciding) {
-            loop.execute(() -> enter(event));
+    /** Runs an event that calls a module: now, or once the current event has been handled. */
+    private void runEvent(Runnable event) {
+        if (handlingEvent) {
+            loop.execute(() -> runEvent(event));
             return;
         }
-        deciding = true;
+        handlingEvent = true;
         try {
             event.run();
         } catch (RuntimeException e) {
-            // The process goes on: other requests, and the guards of those concerned, need it.
-            LOG.error("an event failed", e);
+            // The process must keep running for the other requests. Those affected by the exception are
+            // answered as failed shortly before their deadlines.
+            LOG.error("failed to handle an event for the decision module", e);
         } finally {
-            deciding = false;
+            handlingEvent = false;
         }
     }
 
@@ -772,106 +849,118 @@
         if (pending == null) {
             return;
         }
-        long now = clock.nowUs();
-        UpstreamAttempt attempt = new UpstreamAttempt(pending, pending.attempts.size(), server, now,
-                attempts);
+        long nowUs = clock.nowUs();
+        UpstreamAttempt attempt = new UpstreamAttempt(pending, pending.attempts.size(), server, nowUs,
+                attemptListener);
         pending.attempts.add(attempt);
         pending.openAttempts++;
-        long untilUs = timeoutUs > 0 ? Math.min(pending.deadlineUs, now + timeoutUs) : pending.deadlineUs;
+        long timeoutAtUs = timeoutUs > 0 ? Math.min(pending.deadlineUs, nowUs + timeoutUs)
+                : pending.deadlineUs;
         Backend backend = backends.get(server);
-        if (backend == null || out.contains(server) || pending.isAnswered()
-                || untilUs <= now && !pending.isUploading()
+        if (backend == null || inMaintenance.contains(server) || pending.isAnswered()
+                || timeoutAtUs <= nowUs && !pending.isUploading()
                 || pending.attempts.size() > settings.limits().maxAttempts()) {
-            ended(attempt, AttemptResult.of(Outcome.NOT_SENT));
+            attemptEnded(attempt, AttemptResult.of(Outcome.NOT_SENT));
             return;
         }
         if (pending.isUploading()) {
-            attempt.untilUs = Long.MAX_VALUE;
+            attempt.timeoutAtUs = Long.MAX_VALUE;
         } else {
-            limit(attempt, now, untilUs);
+            scheduleTimeout(attempt, nowUs, timeoutAtUs);
         }
         try {
-            attempt.exchange = pool.begin(backend.address, () -> message(attempt, backend), attempt);
+            attempt.exchange = pool.startExchange(backend.address, () -> buildRequest(attempt, backend),
+                    attempt);
         } catch (RuntimeException e) {
-            // Thrown on, it would end the module's turn half-way, and this attempt never.
+            // If rethrown, the exception would interrupt the module in the middle of its event, and the
+            // attempt would never end.
             LOG.atError().addKeyValue("request", pending.inbound.callId()).addKeyValue("backend", server)
                     .setCause(e).log("attempt not begun");
-            ended(attempt, AttemptResult.of(Outcome.NOT_SENT));
+            attemptEnded(attempt, AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
     private void timedOut(UpstreamAttempt attempt) {
         if (!attempt.ended) {
-            attempt.abandon();
-            // Still connecting, so no byte of it has left.
-            ended(attempt, AttemptResult.of(attempt.begun() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
+            attempt.cancelExchange();
+            // While the connection is being established, no byte of the request can have been sent.
+            attemptEnded(attempt,
+                    AttemptResult.of(attempt.hasStarted() ? Outcome.TIMEOUT : Outcome.NOT_SENT));
         }
     }
 
     /**
-     * The request for a backend, at the moment its first byte may go out: the connect took time, in which the
-     * request may have ended or the backend may have been told to drain. Null where it must not go out.
+     * Returns the request as sent to a backend, or null if it must not be sent. Called just before the first
+     * byte is written: while the connection was being established, the request may have ended or the backend
+     * may have started to drain.
      */
-    private HttpRequest message(UpstreamAttempt attempt, Backend backend) {
-        long now = clock.nowUs();
-        Inbound in = attempt.request.inbound;
-        long leftMs = attempt.request.isUploading() ? in.timeLeftUs() / 1000 : (attempt.untilUs - now) / 1000;
-        RequestClass kind = settings.classes().get(in.requestClass());
-        SendGuard.Verdict verdict = SendGuard.judge(attempt, kind, barred(attempt.server, backend), leftMs,
-                now);
-        if (verdict != SendGuard.Verdict.GO) {
+    private HttpRequest buildRequest(UpstreamAttempt attempt, Backend backend) {
+        long nowUs = clock.nowUs();
+        Inbound inbound = attempt.request.inbound;
+        long leftMs = attempt.request.isUploading() ? inbound.timeLeftUs() / 1000
+                : (attempt.timeoutAtUs - nowUs) / 1000;
+        RequestClass requestClass = settings.classes().get(inbound.requestClass());
+        SendGuard.Decision decision = SendGuard.decide(attempt, requestClass,
+                isExcluded(attempt.server, backend), leftMs, nowUs);
+        if (decision != SendGuard.Decision.SEND) {
             if (LOG.isDebugEnabled()) {
-                LOG.atDebug().addKeyValue("request", in.callId()).addKeyValue("attempt", attempt.number)
-                        .addKeyValue("backend", attempt.server).addKeyValue("verdict", verdict)
+                LOG.atDebug().addKeyValue("request", inbound.callId()).addKeyValue("attempt", attempt.number)
+                        .addKeyValue("backend", attempt.server).addKeyValue("verdict", decision)
                         .log("attempt held back");
             }
             return null;
         }
-        checkBeginning(attempt, backend, kind, leftMs);
-        HttpRequest message = in.upload() == null
-                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, in.method(), in.uri(),
-                        Unpooled.wrappedBuffer(in.body()))
-                : new Upload.RequestHead(HttpVersion.HTTP_1_1, in.method(), in.uri(), in.upload());
+        checkSendInvariants(attempt, backend, requestClass, leftMs);
+        HttpRequest message = inbound.upload() == null
+                ? new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, inbound.method(), inbound.uri(),
+                        Unpooled.wrappedBuffer(inbound.body()))
+                : new Upload.RequestHead(HttpVersion.HTTP_1_1, inbound.method(), inbound.uri(),
+                        inbound.upload());
         HttpHeaders headers = message.headers();
         headers.set(HttpHeaderNames.HOST, Addresses.text(backend.address));
-        headers.set("X-Call-Id", in.callId());
-        headers.set("X-Call-Class", settings.classes().get(in.requestClass()).name());
+        headers.set("X-Call-Id", inbound.callId());
+        headers.set("X-Call-Class", settings.classes().get(inbound.requestClass()).name());
         headers.set("X-Budget-Ms", leftMs);
-        if (in.idempotencyKey() != null) {
-            headers.set("Idempotency-Key", in.idempotencyKey());
+        if (inbound.idempotencyKey() != null) {
+            headers.set("Idempotency-Key", inbound.idempotencyKey());
         }
-        if (in.type() != null) {
-            headers.set(HttpHeaderNames.CONTENT_TYPE, in.type());
+        if (inbound.contentType() != null) {
+            headers.set(HttpHeaderNames.CONTENT_TYPE, inbound.contentType());
         }
-        if (in.upload() != null) {
-            in.upload().setLengthHeader(headers);
-        } else if (in.body().length > 0 || !in.method().equals(HttpMethod.GET)) {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, in.body().length);
+        if (inbound.upload() != null) {
+            inbound.upload().setLengthHeader(headers);
+        } else if (inbound.body().length > 0 || !inbound.method().equals(HttpMethod.GET)) {
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, inbound.body().length);
         }
         return message;
     }
 
-    /** What must hold for each attempt that begins, by all that is known at its first byte. */
-    private void checkBeginning(UpstreamAttempt attempt, Backend backend, RequestClass kind, long leftMs) {
+    /** Checks the invariants of an attempt just before its first byte is written. */
+    private void checkSendInvariants(UpstreamAttempt attempt, Backend backend, RequestClass requestClass,
+            long leftMs) {
         PendingRequest pending = attempt.request;
-        long now = clock.nowUs();
+        long nowUs = clock.nowUs();
         String id = pending.inbound.callId();
-        Supplier<String> state = () -> pending.describe(now);
-        invariants.check(!pending.isAnswered() && pending.client.open(), Rule.ATTEMPT_FOR_WAITING_CLIENT, id,
-                state);
+        Supplier<String> state = () -> pending.describe(nowUs);
+        invariants.check(!pending.isAnswered() && pending.client.isOpen(), Rule.ATTEMPT_FOR_WAITING_CLIENT,
+                id, state);
         invariants.check(backend.status == ServerStatus.UP
-                || now <= backend.downSinceUs + settings.rules().drainGraceUs(),
+                || nowUs <= backend.downSinceUs + settings.rules().drainGraceUs(),
                 Rule.ATTEMPT_WITHIN_GRACE, id, state);
-        invariants.check(SendGuard.repeatsSafely(attempt, kind, now - HELD_UP_US), Rule.REPEATED_SAFELY, id,
-                state);
-        invariants.check(pending.isUploading() || leftMs * 1000 <= pending.deadlineUs - now + HELD_UP_US,
+        invariants.check(SendGuard.isSafeToRepeat(attempt, requestClass, nowUs - MAX_PROCESS_PAUSE_US),
+                Rule.REPEATED_SAFELY, id, state);
+        invariants.check(
+                pending.isUploading() || leftMs * 1000 <= pending.deadlineUs - nowUs + MAX_PROCESS_PAUSE_US,
                 Rule.DEADLINE_PASSED_ON, id, state);
     }
 
-    /** Whether nothing may begin at a backend: it was called out, or drains for most of its grace. */
-    private boolean barred(String server, Backend backend) {
-        return out.contains(server) || backend.status != ServerStatus.UP && clock.nowUs()
-                >= backend.downSinceUs + settings.rules().drainGraceUs() - GRACE_MARGIN_US;
+    /**
+     * Returns whether no attempt may start at a backend, because the backend is in maintenance or its drain's
+     * grace period is over or about to be.
+     */
+    private boolean isExcluded(String server, Backend backend) {
+        return inMaintenance.contains(server) || backend.status != ServerStatus.UP && clock.nowUs()
+                >= backend.downSinceUs + settings.rules().drainGraceUs() - DRAIN_GRACE_MARGIN_US;
     }
 
     private void refuse(String request, long retryAfterUs) {
@@ -881,16 +970,16 @@
                 LOG.atDebug().addKeyValue("request", pending.inbound.callId())
                         .addKeyValue("state", pending.describe(clock.nowUs())).log("request refused");
             }
-            finish(pending, Meters.Result.REFUSED);
-            pending.client.refused(retryAfterUs, delivery(pending));
+            recordResult(pending, Meters.Result.REFUSED);
+            pending.client.sendRefusal(retryAfterUs, delivery(pending));
         }
     }
 
     private void fail(String request) {
         PendingRequest pending = requests.get(request);
         if (pending != null && !pending.isAnswered()) {
-            finish(pending, Meters.Result.FAILED);
-            pending.client.failed(delivery(pending));
+            recordResult(pending, Meters.Result.FAILED);
+            pending.client.sendFailure(delivery(pending));
         }
     }
 
@@ -900,18 +989,18 @@
             return;
         }
         UpstreamAttempt attempt = pending.attempts.get(number);
-        attempt.abandon();
-        ended(attempt, AttemptResult.of(Outcome.CANCELLED));
+        attempt.cancelExchange();
+        attemptEnded(attempt, AttemptResult.of(Outcome.CANCELLED));
     }
 
-    private void probe(String server, Deciding module) {
-        HealthProbes.Listener told = (asked, outcome, tookUs, report) -> enter(
-                () -> module.balancer.probeResult(clock.nowUs(), asked, outcome, tookUs, report));
+    private void probe(String server, DecisionModule module) {
+        HealthProbes.Listener listener = (probedServer, outcome, tookUs, report) -> runEvent(
+                () -> module.balancer.probeResult(clock.nowUs(), probedServer, outcome, tookUs, report));
         Backend backend = backends.get(server);
-        if (backend == null || out.contains(server)) {
-            probes.skip(server, told);
+        if (backend == null || inMaintenance.contains(server)) {
+            probes.reportNotSent(server, listener);
         } else {
-            probes.send(server, backend.address, () -> barred(server, backend), told);
+            probes.send(server, backend.address, () -> isExcluded(server, backend), listener);
         }
     }
 }
--- a/src/main/java/larkworks/proxy/Training.java
+++ b/src/main/java/larkworks/proxy/Training.java
@@ -25,7 +25,7 @@
  */
 public final class Training {
 
-    private static final int LARGE_BODY_BYTES = 4 * BackendPool.MOST_BODY;
+    private static final int LARGE_BODY_BYTES = 4 * BackendPool.MAX_BUFFERED_BODY_BYTES;
     /** The backend's address in the configuration file, replaced by the address of the running backend. */
     private static final String CONFIGURED_BACKEND = "127.0.0.1:2";
 
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -17,9 +17,10 @@
 /**
  * A request body that is too large to be buffered whole, passed from a client to a backend as it arrives. The
  * bytes received before a backend is attached are buffered, and can be sent again to another backend until
- * more than {@link BackendPool#MOST_BODY} bytes were written to one; later bytes are written as they arrive.
- * While no backend is attached the client is still read, within the common limit of buffered bodies, as only
- * reading shows that it has gone. Otherwise the client is read only while the backend's channel is writable.
+ * more than {@link BackendPool#MAX_BUFFERED_BODY_BYTES} bytes were written to one; later bytes are written as
+ * they arrive. While no backend is attached the client is still read, within the common limit of buffered
+ * bodies, as only reading shows that it has gone. Otherwise the client is read only while the backend's
+ * channel is writable.
  */
 final class Upload {
 
@@ -206,7 +207,7 @@
         }
         if (complete) {
             writeEnd();
-        } else if (sentBytes > BackendPool.MOST_BODY) {
+        } else if (sentBytes > BackendPool.MAX_BUFFERED_BODY_BYTES) {
             releaseBuffered();
             onNotRepeatable.run();
         }
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -4,37 +4,41 @@
 import larkworks.Balancer.Outcome;
 
 /**
- * One sending of a request to a backend, which hears what comes of it. For the proxy's loop only; times are
- * in microseconds by the driver's clock.
+ * An attempt to have a request served by a backend; it passes the result to its listener. For the proxy's
+ * loop only; times are in microseconds by the driver's clock.
  */
 final class UpstreamAttempt implements BackendPool.Receiver {
 
-    /** Who decides on what comes of an attempt. */
+    /** Handles the results of attempts. */
     interface Listener {
 
-        /** A large answer begins; see {@link BackendPool.Receiver#began}. */
-        BackendPool.Sink answerBegan(UpstreamAttempt attempt, BackendPool.Exchange from, String type,
-                long length);
+        /** Called when a large answer starts; see {@link BackendPool.Receiver#streamStarted}. */
+        BackendPool.AnswerSink streamStarted(UpstreamAttempt attempt, BackendPool.Exchange exchange,
+                String contentType, long length);
 
-        /** For so long an answer of unknown length is held; see {@link BackendPool.Receiver#holdUs}. */
-        long holdUs(UpstreamAttempt attempt);
+        /**
+         * Returns for how long an answer of unknown length is buffered; see
+         * {@link BackendPool.Receiver#maxBufferingUs}.
+         */
+        long maxBufferingUs(UpstreamAttempt attempt);
 
-        void ended(UpstreamAttempt attempt, AttemptResult answer);
+        /** Called when the attempt's exchange has ended. */
+        void attemptEnded(UpstreamAttempt attempt, AttemptResult answer);
     }
 
     final PendingRequest request;
-    /** Counts the attempts of its request, from 0. */
+    /** The position of this attempt among those of its request, from 0. */
     final int number;
     final String server;
     final long sentAtUs;
     private final Listener listener;
-    /** When it is given up; the greatest value while its request's upload lasts. */
-    long untilUs;
-    /** Null until it has begun, and where it could not begin. */
+    /** When the attempt times out; {@link Long#MAX_VALUE} until the request's upload is complete. */
+    long timeoutAtUs;
+    /** The exchange with the backend; null until it is started and if it could not be started. */
     BackendPool.Exchange exchange;
     Future<?> timeout;
     boolean ended;
-    /** How it ended; null while it is out. */
+    /** The outcome of the attempt; null until it has ended. */
     private Outcome outcome;
 
     UpstreamAttempt(PendingRequest request, int number, String server, long sentAtUs, Listener listener) {
@@ -45,46 +49,47 @@
         this.listener = listener;
     }
 
-    /** Whether a byte of the request may have left for the backend. */
-    boolean begun() {
-        return exchange != null && exchange.begun();
+    /** Returns whether a byte of the request may have been sent to the backend. */
+    boolean hasStarted() {
+        return exchange != null && exchange.hasStarted();
     }
 
-    /** Notes how it ended. */
-    void end(Outcome how) {
+    /** Records the end of the attempt and its outcome. */
+    void markEnded(Outcome result) {
         ended = true;
-        outcome = how;
+        outcome = result;
     }
 
-    /** Whether its server may have run the request, or may yet. */
+    /** Returns whether the backend may have run the request or may still run it. */
     boolean mayHaveRun() {
-        return begun() && (outcome == null || !outcome.provesNotRun);
+        return hasStarted() && (outcome == null || !outcome.provesNotRun);
     }
 
-    /** Closes what it holds; its end must still be told by who calls this. */
-    void abandon() {
+    /** Cancels the exchange with the backend. The caller must still report the attempt's end. */
+    void cancelExchange() {
         if (exchange != null) {
-            exchange.abandon();
+            exchange.cancel();
         }
     }
 
-    /** How far it has come, in a word for the log. */
+    /** Returns the attempt's progress or outcome as one word, for the log. */
     String state() {
-        return ended ? String.valueOf(outcome) : begun() ? "sent" : "connecting";
+        return ended ? String.valueOf(outcome) : hasStarted() ? "sent" : "connecting";
     }
 
     @Override
-    public BackendPool.Sink began(BackendPool.Exchange from, String type, long length) {
-        return listener.answerBegan(this, from, type, length);
+    public BackendPool.AnswerSink streamStarted(BackendPool.Exchange exchange, String contentType,
+            long length) {
+        return listener.streamStarted(this, exchange, contentType, length);
     }
 
     @Override
-    public long holdUs() {
-        return listener.holdUs(this);
+    public long maxBufferingUs() {
+        return listener.maxBufferingUs(this);
     }
 
     @Override
-    public void ended(AttemptResult answer) {
-        listener.ended(this, answer);
+    public void exchangeEnded(AttemptResult answer) {
+        listener.attemptEnded(this, answer);
     }
 }
--- a/src/main/java/larkworks/proxy/Warmup.java
+++ b/src/main/java/larkworks/proxy/Warmup.java
@@ -49,7 +49,7 @@
         if (--remainingRequests == 0) {
             finish();
         } else if (remainingRequests > 0) {
-            driver.request(new Driver.Inbound("warm-up", HttpMethod.GET, "/health/live", null, new byte[0],
+            driver.submit(new Driver.Inbound("warm-up", HttpMethod.GET, "/health/live", null, new byte[0],
                     null, null, 0, 0, MAX_DURATION_MS * 1000, 0, false, clock.nowUs()), this);
         }
     }
@@ -57,7 +57,7 @@
     private void finish() {
         if (remainingRequests >= 0) {
             remainingRequests = -1;
-            while (pool.evict()) {
+            while (pool.evictLongestIdle()) {
                 // Each call closes one idle connection.
             }
             onFinished.run();
@@ -65,30 +65,30 @@
     }
 
     @Override
-    public boolean connected() {
+    public boolean isConnected() {
         return true;
     }
 
     @Override
-    public void served(byte[] body, String type, Driver.Delivery delivery) {
+    public void sendAnswer(byte[] body, String type, Driver.Delivery delivery) {
         delivery.ended(true);
         loop.execute(this::sendNext);
     }
 
     @Override
-    public BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
+    public BackendPool.AnswerSink startStream(BackendPool.Exchange from, String type, long length,
             Driver.Delivery delivery) {
         throw new IllegalStateException("warm-up answer of " + length + " bytes: a small one is expected");
     }
 
     @Override
-    public void refused(long retryAfterUs, Driver.Delivery delivery) {
+    public void sendRefusal(long retryAfterUs, Driver.Delivery delivery) {
         delivery.ended(true);
         loop.execute(this::sendNext);
     }
 
     @Override
-    public void failed(Driver.Delivery delivery) {
+    public void sendFailure(Driver.Delivery delivery) {
         delivery.ended(true);
         loop.execute(this::sendNext);
     }
--- a/src/test/java/larkworks/proxy/MetricsTest.java
+++ b/src/test/java/larkworks/proxy/MetricsTest.java
@@ -65,7 +65,7 @@
         CountDownLatch allowRendering = new CountDownLatch(1);
         try (Meters meters = new Meters(List.of(new RequestClass("look", 1, 1, 1, 0, Effect.SAFE,
                 DedupGroup.ALL, 0)))) {
-            meters.gauge("slow", allowRendering, latch -> {
+            meters.registerGauge("slow", allowRendering, latch -> {
                 rendering.countDown();
                 try {
                     latch.await();
@@ -77,7 +77,7 @@
             CompletableFuture<String> text = new CompletableFuture<>();
             meters.scrape(text::complete);
             rendering.await();
-            meters.answered(0, Meters.Result.SERVED, 1_000);
+            meters.requestAnswered(0, Meters.Result.SERVED, 1_000);
             assertFalse(text.isDone(), "a value must be recorded while the scrape is still rendered");
             allowRendering.countDown();
             assertTrue(text.get(30, TimeUnit.SECONDS).contains("slow 7.0"));
