--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -264,8 +264,8 @@
         Path file = Files.writeString(folder.resolve("c.json"), bench.config(0, "null"));
         assertFailsWithOneLineMessage(() -> Config.read(file.toString(), Map.of("GW_ADMIN_ADDR", "here:1"),
                 Map.of()));
-        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getByName(Bench.HOST))) {
-            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + occupied.getLocalPort());
+        try (ServerSocket occupyingSocket = new ServerSocket(0, 1, InetAddress.getByName(Bench.HOST))) {
+            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + occupyingSocket.getLocalPort());
             assertFailsWithOneLineMessage(() -> bench.start(folder));
         }
     }
--- a/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -210,11 +210,11 @@
             bench.discovery.next().reply(200, bench.all(1));
             Peer.Message watch = awaitCallAfterList(bench, 1);
             Bench.Client client = bench.client().look("in flight");
-            int removed = -1;
+            int removedIndex = -1;
             Peer.Message inFlight = null;
             while (inFlight == null) {
-                removed = bench.awaitBackend();
-                Peer.Message request = bench.backends.get(removed).next();
+                removedIndex = bench.awaitBackend();
+                Peer.Message request = bench.backends.get(removedIndex).next();
                 if (request.line().startsWith("GET /stats")) {
                     request.reply(200, "inflight=0");
                 } else {
@@ -222,17 +222,18 @@
                 }
             }
             failCall(watch, failure);
-            bench.discovery.next().reply(200, Bench.list(2, true, bench.entry(1 - removed, "in_service")));
+            bench.discovery.next()
+                    .reply(200, Bench.list(2, true, bench.entry(1 - removedIndex, "in_service")));
             awaitCallAfterList(bench, 2);
             bench.settle();
-            Peer removedBackend = bench.backends.get(removed);
+            Peer removedBackend = bench.backends.get(removedIndex);
             while (removedBackend.waiting() > 0) {
                 assertTrue(removedBackend.next().line().startsWith("GET /stats"),
                         "only probes from before the new list may be pending");
             }
             int connections = removedBackend.connections();
             for (int i = 0; i < 10; i++) {
-                serveByBackend(bench, 1 - removed, "r" + i);
+                serveByBackend(bench, 1 - removedIndex, "r" + i);
             }
             assertEquals(0, removedBackend.waiting(),
                     "the removed backend must receive neither requests nor probes");
--- a/src/test/java/larkworks/proxy/LargeFleetTest.java
+++ b/src/test/java/larkworks/proxy/LargeFleetTest.java
@@ -20,14 +20,14 @@
 
     private static final int FLEET_SIZE = 1_100;
     /** Sockets that serve the servers' addresses; each stands for the same number of servers. */
-    private static final int LISTENERS = 10;
+    private static final int LISTENER_COUNT = 10;
     private static final int REQUESTS_PER_CHECK = 30;
 
     @TempDir
     Path folder;
 
     private static String addressOf(Bench bench, int server) {
-        return bench.backends.get(server % LISTENERS).address();
+        return bench.backends.get(server % LISTENER_COUNT).address();
     }
 
     /** Sends requests one by one and asserts that this listener serves them all; -1 stands for any. */
@@ -40,7 +40,7 @@
 
     @Test
     void appliesChangesAndDrainsWithOver1000ServersAndPeers() throws Exception {
-        try (Bench bench = new Bench(LISTENERS)) {
+        try (Bench bench = new Bench(LISTENER_COUNT)) {
             int adminPort = Bench.freePort();
             bench.copies = FLEET_SIZE;
             bench.more = LargeFleet.membership(FLEET_SIZE, 0, Bench.HOST + ":" + Bench.freePort());
@@ -65,14 +65,14 @@
 
             // One change covers all servers: those of listener 3 stay in service, all others drain.
             watch.reply(200, LargeFleet.list(3, false, FLEET_SIZE, i -> addressOf(bench, i),
-                    i -> i % LISTENERS == 3 ? "in_service" : "terminating"));
+                    i -> i % LISTENER_COUNT == 3 ? "in_service" : "terminating"));
             watch = bench.discovery.next();
             assertTrue(watch.line().contains("?index=3&"), watch.line());
             assertServedBy(bench, 3);
 
             // A full list contains only the servers of listener 7, which drained and are now in service.
             watch.reply(200, LargeFleet.list(4, true, FLEET_SIZE, i -> addressOf(bench, i),
-                    i -> i % LISTENERS == 7 ? "in_service" : null));
+                    i -> i % LISTENER_COUNT == 7 ? "in_service" : null));
             watch = bench.discovery.next();
             assertTrue(watch.line().contains("?index=4&"), watch.line());
             assertServedBy(bench, 7);
--- a/src/test/java/larkworks/proxy/MetricsTest.java
+++ b/src/test/java/larkworks/proxy/MetricsTest.java
@@ -61,12 +61,12 @@
 
     @Test
     void aSlowScrapeDoesNotBlockRecording() throws Exception {
-        CountDownLatch rendering = new CountDownLatch(1);
+        CountDownLatch renderingStarted = new CountDownLatch(1);
         CountDownLatch allowRendering = new CountDownLatch(1);
         try (Meters meters = new Meters(List.of(new RequestClass("look", 1, 1, 1, 0, Effect.SAFE,
                 DedupGroup.ALL, 0)))) {
             meters.registerGauge("slow", allowRendering, latch -> {
-                rendering.countDown();
+                renderingStarted.countDown();
                 try {
                     latch.await();
                 } catch (InterruptedException e) {
@@ -76,7 +76,7 @@
             });
             CompletableFuture<String> text = new CompletableFuture<>();
             meters.scrape(text::complete);
-            rendering.await();
+            renderingStarted.await();
             meters.requestAnswered(0, Meters.Result.SERVED, 1_000);
             assertFalse(text.isDone(), "a value must be recorded while the scrape is still rendered");
             allowRendering.countDown();
--- a/src/test/java/larkworks/proxy/ProcessTest.java
+++ b/src/test/java/larkworks/proxy/ProcessTest.java
@@ -26,7 +26,7 @@
     @TempDir
     Path folder;
 
-    private Process start(String config) throws IOException {
+    private Process startProxy(String config) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
@@ -40,14 +40,14 @@
         int port = Bench.freePort();
         try (Bench bench = new Bench(1)) {
             bench.at(port);
-            Process process = start(bench.config(port, bench.all(1)));
+            Process process = startProxy(bench.config(port, bench.all(1)));
             try {
-                Bench.Client probe = connectWhenReady(bench);
+                Bench.Client readinessClient = connectWhenReady(bench);
                 Bench.Client client = bench.client().look("in flight");
                 Peer.Message backendRequest = bench.backends.get(0).next();
 
                 process.destroy();
-                while (readinessStatus(probe) == 200) {
+                while (readinessStatus(readinessClient) == 200) {
                     // Wait for the signal to arrive; the first answer after it closes the connection.
                     Thread.onSpinWait();
                 }
@@ -69,7 +69,7 @@
     /** Starts a process with this deadline for all classes; it sets how soon SIGKILL may follow SIGTERM. */
     private Process startWithDeadline(Bench bench, int port, long deadlineMs) throws IOException {
         bench.at(port);
-        return start(bench.config(port, bench.all(1)).replace("2000000,", "500000,")
+        return startProxy(bench.config(port, bench.all(1)).replace("2000000,", "500000,")
                 .replace("30000000,\"worth", deadlineMs + "000,\"worth"));
     }
 
@@ -79,10 +79,10 @@
         try (Bench bench = new Bench(1)) {
             Process process = startWithDeadline(bench, port, 1_000);
             try {
-                Bench.Client probe = connectWhenReady(bench);
+                Bench.Client readinessClient = connectWhenReady(bench);
                 Bench.Client client = bench.client();
                 process.destroy();
-                while (readinessStatus(probe) == 200) {
+                while (readinessStatus(readinessClient) == 200) {
                     Thread.onSpinWait();
                 }
                 // Its budget ends 1.5 s after the longest deadline. A request that arrives within 0.7 s of
@@ -127,7 +127,7 @@
         int port = Bench.freePort();
         try (Bench bench = new Bench(1)) {
             bench.at(port);
-            Process process = start(bench.config(port, bench.all(1)));
+            Process process = startProxy(bench.config(port, bench.all(1)));
             try {
                 connectWhenReady(bench).socket().close();
                 Bench.Client client = bench.client().look("in flight");
@@ -155,7 +155,7 @@
         try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
             bench.at(port);
             String config = bench.config(port, "null");
-            Process process = start(config);
+            Process process = startProxy(config);
             try {
                 bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
                 Peer.Message watch = bench.discovery.next();
@@ -193,7 +193,7 @@
         try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
             bench.at(port);
             String config = bench.config(port, "null");
-            Process process = start(config);
+            Process process = startProxy(config);
             try {
                 bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
                 Peer.Message watch = bench.discovery.next();
@@ -234,7 +234,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"", "{", "[]", "{\"listen\":\"127.0.0.1:0\"}", "{\"settings\":{\"limits\":7}}"})
     void reportsAConfigurationErrorInOneLine(String config) throws Exception {
-        Process process = start(config);
+        Process process = startProxy(config);
         String errorOutput = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertNotEquals(0, process.waitFor());
         assertTrue(errorOutput.startsWith("larkworks: "), errorOutput);
--- a/src/test/java/larkworks/proxy/ReplacementTest.java
+++ b/src/test/java/larkworks/proxy/ReplacementTest.java
@@ -29,7 +29,7 @@
 
     private Bench bench;
     private final List<Process> processes = new ArrayList<>();
-    private final AtomicBoolean isOver = new AtomicBoolean();
+    private final AtomicBoolean isTestOver = new AtomicBoolean();
     /** Ids of the requests that backends received. */
     private final List<String> receivedIds = Collections.synchronizedList(new ArrayList<>());
     private final List<Thread> threads = new ArrayList<>();
@@ -48,7 +48,7 @@
 
     @AfterEach
     void tearDown() throws Exception {
-        isOver.set(true);
+        isTestOver.set(true);
         processes.forEach(Process::destroyForcibly);
         for (Thread thread : threads) {
             thread.interrupt();
@@ -76,7 +76,7 @@
     }
 
     private void serve(Peer backend) throws InterruptedException {
-        while (!isOver.get()) {
+        while (!isTestOver.get()) {
             Peer.Message message = backend.next();
             String id = message.header("X-Call-Id");
             receivedIds.add(id);
@@ -104,23 +104,23 @@
     }
 
     /** Sends requests until stopped, on new and on kept-alive connections; asserts that each is served. */
-    private void sendRequests(String name, List<String> served, AtomicBoolean isStopped) throws Exception {
-        Bench.Client keptAlive = bench.client();
+    private void sendRequests(String name, List<String> servedIds, AtomicBoolean isStopped) throws Exception {
+        Bench.Client keepAliveClient = bench.client();
         for (int i = 0; !isStopped.get(); i++) {
             String id = name + "-" + i;
             if (i % 3 == 0) {
-                keptAlive.socket().close();
-                keptAlive = bench.client();
+                keepAliveClient.socket().close();
+                keepAliveClient = bench.client();
             }
-            Peer.Message answer = keptAlive.look(id).answer();
+            Peer.Message answer = keepAliveClient.look(id).answer();
             assertEquals(id, answer == null ? null : answer.text(), "the answer to " + id);
-            served.add(id);
+            servedIds.add(id);
             if ("close".equals(answer.header("Connection"))) {
-                keptAlive.socket().close();
-                keptAlive = bench.client();
+                keepAliveClient.socket().close();
+                keepAliveClient = bench.client();
             }
         }
-        keptAlive.socket().close();
+        keepAliveClient.socket().close();
     }
 
     @Test
@@ -131,14 +131,14 @@
         Bench.Client idleClient = bench.client();
         assertEquals(200, idleClient.look("first").status());
         AtomicBoolean isStopped = new AtomicBoolean();
-        List<String> served = Collections.synchronizedList(new ArrayList<>());
+        List<String> servedIds = Collections.synchronizedList(new ArrayList<>());
         List<Throwable> failures = Collections.synchronizedList(new ArrayList<>());
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             String name = "c" + i;
             Thread client = new Thread(() -> {
                 try {
-                    sendRequests(name, served, isStopped);
+                    sendRequests(name, servedIds, isStopped);
                 } catch (Throwable e) {
                     failures.add(e);
                 }
@@ -154,8 +154,8 @@
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
         oldProcess.destroy();
         assertTrue(oldProcess.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
-        int servedBefore = served.size();
-        while (served.size() < servedBefore + 100 && failures.isEmpty()) {
+        int servedBefore = servedIds.size();
+        while (servedIds.size() < servedBefore + 100 && failures.isEmpty()) {
             Thread.sleep(10);
         }
         isStopped.set(true);
@@ -167,7 +167,7 @@
         assertTrue(tookMs < 6_000, "took too long to be ready, in ms: " + tookMs);
         assertEquals(receivedIds.size(), new HashSet<>(receivedIds).size(),
                 "no request may reach a backend twice");
-        assertTrue(new HashSet<>(receivedIds).containsAll(served));
+        assertTrue(new HashSet<>(receivedIds).containsAll(servedIds));
         assertFalse(receivedIds.contains("warm-up"), "requests of the warm-up must not reach a backend");
     }
 
