--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -89,7 +89,7 @@
         bench.start(folder);
         assertEquals(200, call("GET", "/ops/readiness", ""));
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
-        assertTrue(tookMs < 5_500, "must be ready before the platform's 6 s, but took ms: " + tookMs);
+        assertTrue(tookMs < 5_500, "took too long to be ready; the platform allows 6 s, took ms: " + tookMs);
     }
 
     @Test
--- a/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -54,7 +54,7 @@
         return (System.nanoTime() - startNs) / 1_000_000;
     }
 
-    /** Awaits the call that proves that the list with this index was accepted, and returns it. */
+    /** Awaits the call that proves that the proxy accepted the list with this index; returns the call. */
     private static Peer.Message awaitCallAfterList(Bench bench, int index) throws Exception {
         Peer.Message call = bench.discovery.next();
         assertTrue(call.line().contains("?index=" + index + "&"), call.line());
@@ -259,7 +259,7 @@
      * timeout or the drain grace ends.
      */
     @ParameterizedTest
-    @ValueSource(strings = {"left out", "terminated"})
+    @ValueSource(strings = {"not listed", "terminated"})
     void movesAConnectingAttemptAwayFromARemovedBackend(String removal) throws Exception {
         try (Bench bench = new Bench(1); Hanging hangingBackend = new Hanging()) {
             bench.connectTimeoutUs = 25_000_000;
@@ -271,7 +271,7 @@
             Peer.Message watch = awaitCallAfterList(bench, 1);
             Bench.Client client = bench.client().look("r");
             bench.settle();
-            watch.reply(200, removal.equals("left out") ? Bench.list(2, true, bench.entry(0, "in_service"))
+            watch.reply(200, removal.equals("not listed") ? Bench.list(2, true, bench.entry(0, "in_service"))
                     : Bench.list(2, false, Bench.entry("b", hangingBackend.address(), "terminated"),
                             bench.entry(0, "in_service")));
             bench.backends.get(0).next().reply(200, "elsewhere");
