--- a/src/test/c/syscall_faults.c
+++ b/src/test/c/syscall_faults.c
@@ -1,22 +1,22 @@
 /*
- * A library that is loaded before the C library (LD_PRELOAD) and makes system calls of this one process fail,
- * fall short or kill the process, and shifts its wall clock. Tests only.
+ * A library for tests that is loaded before the C library (LD_PRELOAD). It makes system calls of the process
+ * fail, transfer fewer bytes than requested or kill the process, and shifts the process's wall clock.
  *
- * FAULTS holds rules, separated by ';':
+ * The environment variable FAULTS holds rules, separated by ';':
  *
  *     CALL=ACTION[@PERCENT][#NTH][,FROM-TO]
  *
- * CALL    accept, socket, connect, recv, send (on sockets), uprecv, upsend (on sockets that this process has
- *         connected), write, fsync, truncate, rename (on regular files below FAULT_FOLDER), clock (the wall
- *         clock)
- * ACTION  an errno name; SHORT: a part of the bytes; KILL: SIGKILL in place of the call;
- *         for clock: milliseconds to add
- * PERCENT chance of each call, 100 where it is left out
- * NTH     only the call with this number, counted from 1 over all calls of that name
- * FROM-TO milliseconds of monotonic time since the library was loaded; always where it is left out
+ * CALL    accept, socket, connect, recv, send (on sockets); uprecv, upsend (on sockets that this process has
+ *         connected); write, fsync, truncate, rename (on files below FAULT_FOLDER); clock (the wall clock)
+ * ACTION  the name of an errno: the call fails with it; SHORT: the call transfers only half of the bytes;
+ *         KILL: the process is killed with SIGKILL before the call; for clock: milliseconds to add
+ * PERCENT probability that the rule applies to a call; 100 by default
+ * NTH     the rule applies only to the call with this number, counted from 1 over all calls of that name
+ * FROM-TO period in which the rule applies, in milliseconds of monotonic time since the library was loaded;
+ *         always by default
  *
- * FAULT_SEED seeds the chances. FAULT_COUNT names a file that gets a byte for each call of a file kind, so that
- * a test can tell how many there were.
+ * FAULT_SEED seeds the probabilities. FAULT_COUNT names a file to which a byte is appended for each write,
+ * fsync, truncate and rename below FAULT_FOLDER, so that a test can count these calls.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -99,7 +99,7 @@
 }
 
 static _Noreturn void refuse(const char *text) {
-    fprintf(stderr, "syscall_faults: can't read rule '%s'\n", text);
+    fprintf(stderr, "syscall_faults: malformed rule '%s' or too many rules\n", text);
     abort();
 }
 
@@ -171,7 +171,7 @@
     free(copy);
 }
 
-/* A number below 100, by splitmix64: the n-th draw of a seed is the same in each run. */
+/* Returns a pseudorandom number from 0 to 99 (splitmix64); the sequence depends only on FAULT_SEED. */
 static int chance(void) {
     uint64_t z = atomic_fetch_add(&seed, 0x9E3779B97F4A7C15ul) + 0x9E3779B97F4A7C15ul;
     z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ul;
@@ -179,6 +179,7 @@
     return (int) ((z ^ (z >> 31)) % 100);
 }
 
+/* Counts a call and returns the errno or action of the first rule that applies to it, or NO_FAULT. */
 static int fault(enum call call) {
     long number = atomic_fetch_add(&calls[call], 1) + 1;
     for (int i = 0; i < rule_count; i++) {
@@ -199,6 +200,7 @@
     return NO_FAULT;
 }
 
+/* Like fault(), for calls on files below FAULT_FOLDER: also appends a byte to the count file. */
 static int file_fault(enum call call) {
     if (count_file >= 0) {
         REAL(write)(count_file, &(char) {'a' + (char) call}, 1);
@@ -215,7 +217,7 @@
     return folder && !strncmp(path, folder, strlen(folder));
 }
 
-/* Whether it is a regular file or a folder of those that are to fail. */
+/* Returns whether the descriptor is a file or directory below FAULT_FOLDER. */
 static int is_stored(int fd) {
     struct stat status;
     if (!folder || fd <= 2 || fstat(fd, &status) || S_ISSOCK(status.st_mode) || S_ISFIFO(status.st_mode)) {
@@ -236,8 +238,9 @@
     return -1;
 }
 
-/* ---- sockets */
+/* ---- Calls on sockets */
 
+/* Records whether this process has connected the socket, and returns the descriptor. */
 static int mark(int fd, char connected) {
     if (fd >= 0 && fd < MOST_FDS) {
         atomic_store(&connected_here[fd], connected);
@@ -264,14 +267,14 @@
     int error = address->sa_family == AF_INET || address->sa_family == AF_INET6 ? fault(CONNECT) : NO_FAULT;
     mark(fd, 1);
     if (error == EINTR) {
-        /* The connection goes on coming up, as the system does it. */
+        /* The kernel goes on establishing the connection after an interrupted connect. */
         int result = REAL(connect)(fd, address, length);
         return result && errno != EINPROGRESS ? result : failed(EINTR);
     }
     return error > 0 ? failed(error) : REAL(connect)(fd, address, length);
 }
 
-/* The length that a call on a socket may have; negative where it fails, with errno set. */
+/* Returns the number of bytes that a call on a socket may transfer, or -1 with errno set if it fails. */
 static ssize_t allowed(enum call call, int fd, size_t length) {
     int error = NO_FAULT;
     if (rule_count && is_socket(fd)) {
@@ -301,6 +304,7 @@
     return most < 0 ? most : REAL(readv)(fd, parts, most == (ssize_t) parts[0].iov_len ? count : 1);
 }
 
+/* Returns the number of bytes that a write to a file may transfer, or -1 with errno set if it fails. */
 static ssize_t stored_length(int fd, size_t length) {
     int error = file_fault(WRITE);
     if (error == SHORT_ACTION) {
@@ -337,7 +341,7 @@
     return REAL(write)(fd, parts[0].iov_base, (size_t) most);
 }
 
-/* ---- files */
+/* ---- Calls on files */
 
 int fsync(int fd) {
     int error = is_stored(fd) ? file_fault(FSYNC) : NO_FAULT;
@@ -364,8 +368,9 @@
     return error > 0 ? failed(error) : REAL(rename)(from, to);
 }
 
-/* ---- the wall clock */
+/* ---- Calls on the wall clock */
 
+/* Adds the milliseconds of all clock rules that apply now. */
 static void shift(struct timespec *time) {
     long ms = 0;
     for (int i = 0; i < rule_count; i++) {
--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -7,15 +7,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a choice of a server costs does not follow from how many there are. */
+/** The cost of choosing a server does not grow with the number of servers. */
 class ChoiceCostTest {
 
     private static final int REQUESTS = 300;
     private static final int FIRST_REQUESTS = 50;
-    /** Choices of a call with probes: those found idle, the next to be asked, any; each ends soon. */
+    /**
+     * Upper bound on the servers examined for a call. A call with probes examines the servers found idle, the
+     * candidates for the next probe and the candidates for the call; each of these searches ends early.
+     */
     private static final int MOST_LOOKS = 12;
 
-    /** Has a request served by a server whose probe, if any, finds it idle. */
+    /** Sends a request, answers its probes with a load of 0 and ends its attempt successfully after 50 ms. */
     private static void serve(Proxy proxy) {
         int before = proxy.done.size();
         String request = proxy.request(Proxy.SAFE);
@@ -44,6 +47,7 @@
             serve(proxy);
         }
         long looks = proxy.logic.serversLookedAt() - before;
-        assertTrue(looks <= (long) MOST_LOOKS * REQUESTS, looks + " looks for " + REQUESTS + " calls");
+        assertTrue(looks <= (long) MOST_LOOKS * REQUESTS, looks + " servers examined for " + REQUESTS
+                + " calls");
     }
 }
--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -25,49 +25,55 @@
 import larkworks.Balancer.Settings;
 
 /**
- * A tier in simulated time: many copies of the module, which share nothing but the list, and servers with
- * one worker and a bounded queue each. A burst begins, and with it some servers join and others come back
- * cold. Records what the copies that knew of each start sent to it.
+ * Simulates a tier in simulated time: many copies of the decision module, which share only the list of
+ * servers, and servers with one worker and a bounded queue each. At the start of a traffic burst some servers
+ * join and others restart cold. Records the work sent to each cold server by the copies that had already
+ * received its start in the list.
  */
 final class ColdServerFleet {
 
     static final long SECOND_US = 1_000_000;
     private static final long MS = 1_000;
+    /** Time from the start of a server until it reaches its full capacity. */
     private static final long COLD_US = 20 * SECOND_US;
+    /** Share of its capacity that a server has at its start. */
     private static final double COLD_FROM = 0.15;
+    /** The budget of a cold server is this multiple of the work that it can do. */
     private static final double TIP_MULTIPLE = 3;
-    /** The stated length: the time over which what is sent to a cold server is counted. */
+    /** Length of the sliding window over which the work sent to a cold server is summed. */
     private static final long WINDOW_US = 1_500 * MS;
     private static final long BEGIN_US = 1_000 * SECOND_US;
     private static final long BURST_US = BEGIN_US + 15 * SECOND_US;
     private static final long END_US = BURST_US + COLD_US + 3 * SECOND_US;
     private static final long AIM_US = 600 * MS;
     private static final long DEADLINE_US = 1_500 * MS;
-    /** The longest time from a change to its being known at a copy. */
+    /** Maximum delay until a copy receives a change of the list. */
     private static final long LIST_DELAY_US = SECOND_US;
-    /** How long before the burst the servers that will come back cold go down. */
+    /** Time before the burst at which the servers that return cold are stopped. */
     private static final long DOWN_US = 5 * SECOND_US;
+    /** One-way network delay. */
     private static final long NETWORK_US = MS / 2;
+    /** Requests that wait at a server at most, besides the one being processed. */
     private static final int QUEUE = 8;
-    /** Low enough that copies ask servers for their load before a call, where they may. */
+    /** Low enough that copies probe servers before a call, where probes are allowed. */
     private static final double PROBE_PRICE = 0.002;
 
     /**
-     * What is played.
+     * Parameters of a simulation.
      *
-     * @param traffic the share of the traffic that each copy sees, by number, on any scale
-     * @param servers servers at the start
-     * @param joining servers that join at the burst
-     * @param returning servers of those at the start that come back cold then
-     * @param capacity requests of mean work that a warm server does in a second
-     * @param load the traffic before the burst, as a part of what all servers can do
-     * @param burst the multiple of that which comes from the burst on
-     * @param probes whether servers may be asked for their load
+     * @param traffic relative share of the traffic of each copy, by copy number
+     * @param servers number of servers at the start
+     * @param joining number of new servers that join during the burst
+     * @param returning number of the initial servers that restart cold during the burst
+     * @param capacity requests of mean work that a warm server processes per second
+     * @param load traffic before the burst, as a share of the capacity of all servers
+     * @param burst factor by which the traffic is multiplied from the burst on
+     * @param probes whether copies may probe servers
      */
     record Scenario(double[] traffic, int servers, int joining, int returning, double capacity, double load,
             double burst, boolean probes) {
 
-        /** A name for reports. */
+        /** Describes the scenario in the names of tests. */
         @Override
         public String toString() {
             return traffic.length + (traffic[0] == traffic[1] ? " copies" : " unequal copies") + ", "
@@ -75,7 +81,7 @@
                     + " requests/s each, burst " + burst + (probes ? ", probes" : ", no probes");
         }
 
-        /** As many copies, of which one in six sees ten times as much as each of the others. */
+        /** Returns traffic shares where every sixth copy gets ten times the traffic of each other copy. */
         static double[] unequal(int copies) {
             double[] traffic = new double[copies];
             for (int i = 0; i < copies; i++) {
@@ -84,6 +90,7 @@
             return traffic;
         }
 
+        /** Returns equal traffic shares for all copies. */
         static double[] equal(int copies) {
             double[] traffic = new double[copies];
             Arrays.fill(traffic, 1);
@@ -91,34 +98,37 @@
         }
     }
 
-    /** Work, in multiples of the mean, sent at a time. */
+    /** Work of one attempt, in multiples of the mean work, and the time at which it was sent. */
     private record Sent(long atUs, double work) { }
 
     /**
-     * What a cold server got.
+     * Load of one cold server.
      *
-     * @param mostSent work sent to it in the window that was nearest to what is allowed, or furthest beyond
-     * @param budget what it may be sent in that window
-     * @param afterUs the end of that window, from the server's start
-     * @param sentFirst work sent to it in the first half of its time
+     * @param mostSent work sent to it in the window with the highest ratio of work sent to work allowed
+     * @param budget budget of the server in that window
+     * @param afterUs time from the server's start to the end of that window
+     * @param sentFirst work sent to it in the first half of its cold time
      * @param doneFirst work that it could do in that half
      */
     record Verdict(String server, double mostSent, double budget, long afterUs, double sentFirst,
             double doneFirst) {
 
-        /** The budget and what chance may add to it. */
+        /**
+         * Returns the maximum work allowed in the window: the budget and a tolerance for random variation.
+         */
         double allowed() {
             return ColdServerFleet.allowed(budget);
         }
 
         @Override
         public String toString() {
-            return String.format("%s: most in a window %.1f, budget %.1f, allowed %.1f, %.1f s after its"
-                    + " start; first half %.0f sent of %.0f that it can do",
+            return String.format("%s: maximum work in a window %.1f, budget %.1f, allowed %.1f, %.1f s after"
+                    + " its start; first half of its cold time: %.0f sent, %.0f possible",
                     server, mostSent, budget, allowed(), afterUs / (double) SECOND_US, sentFirst, doneFirst);
         }
     }
 
+    /** A scheduled event; events of the same time run in the order in which they were scheduled. */
     private record Due(long atUs, long order, Runnable event) { }
 
     private final Scenario scenario;
@@ -136,7 +146,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Plays it and tells of each server that was cold. */
+    /** Runs the scenario and returns the load of each server that was cold during it. */
     static List<Verdict> play(Scenario scenario, long seed) {
         ColdServerFleet fleet = new ColdServerFleet(scenario, seed);
         fleet.run();
@@ -190,7 +200,7 @@
         tell(worker.line(ServerStatus.UP));
     }
 
-    /** Each copy hears of a change at a time of its own. */
+    /** Delivers a change of the list to each copy after a random delay of its own. */
     private void tell(Server line) {
         for (Copy copy : copies) {
             at(now + random.nextLong(LIST_DELAY_US), () -> {
@@ -202,17 +212,18 @@
         }
     }
 
-    /** The part of its capacity that a server that started then has by now. */
+    /** Returns the share of its full capacity that a server has at a time; 0 as start means a warm server. */
     private static double share(long startedAtUs, long nowUs) {
         return startedAtUs == 0 ? 1
                 : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (nowUs - startedAtUs) / COLD_US);
     }
 
+    /** Adds two standard deviations of a Poisson variable, and 2, to the budget. */
     private static double allowed(double budget) {
         return budget + 2 * Math.sqrt(budget) + 2;
     }
 
-    /** A server with one worker; it turns away what does not fit its queue. */
+    /** A server with one worker; it rejects requests while its queue is full. */
     private final class Worker {
         final String id;
         final ArrayDeque<Try> queue = new ArrayDeque<>();
@@ -265,7 +276,7 @@
             held.forEach(attempt -> attempt.end(Outcome.RESET));
         }
 
-        /** Compares each window that ends with a call with what is allowed at that window's start. */
+        /** Checks every window that ends at an attempt against the work allowed at the window's start. */
         Verdict verdict() {
             double within = 0;
             double most = 0;
@@ -291,7 +302,7 @@
             return new Verdict(id, most, budget, endUs - startedAtUs, first, meanShare * done(COLD_US / 2));
         }
 
-        /** What a warm server does in that time. */
+        /** Returns the work that a warm server does in a period of time. */
         private double done(long us) {
             return scenario.capacity() * us / SECOND_US;
         }
@@ -332,14 +343,14 @@
         }
     }
 
-    /** One copy of the module with its own part of the traffic. */
+    /** One copy of the decision module with its share of the traffic. */
     private final class Copy implements Actions {
         final Logic logic;
         final double part;
         final Map<String, Double> work = new HashMap<>();
         final Map<String, List<Try>> tries = new HashMap<>();
         final Set<String> over = new HashSet<>();
-        /** The servers of whose start it has heard. */
+        /** Servers whose start this copy has received in the list. */
         final Set<String> told = new HashSet<>();
 
         Copy(int number, double part) {
@@ -360,7 +371,7 @@
 
         void arrive() {
             String id = "r" + asked++;
-            // An exponential and a fixed half each: a spread as of real work.
+            // Half constant and half exponentially distributed, which spreads like real work.
             work.put(id, 0.5 - 0.5 * Math.log(1 - random.nextDouble()));
             at(nextArrivalUs(), this::arrive);
             logic.request(now, new Request(id, 0, 0, DEADLINE_US, 0, false));
--- a/src/test/java/larkworks/ColdServerFleetTest.java
+++ b/src/test/java/larkworks/ColdServerFleetTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Rule 4 over a whole tier: copies that share nothing but the list send each cold server, together, no more
- * than N + 2 x root of N + 2 requests of mean work in any stretch of the stated length, N being the multiple
- * of what it can do at the beginning of that stretch.
+ * Checks rule 4 for a whole tier. In any window of 1.5 s, all copies together send a cold server at most
+ * N + 2 x sqrt(N) + 2 requests of mean work, although they share only the list of servers. N is 3 times the
+ * work that the server can do in such a window at its capacity at the window's start.
  */
 class ColdServerFleetTest {
 
     private static final int SEEDS = 6;
-    /** Normal traffic, of what all servers can do; the bursts multiply it. */
+    /** Traffic before the burst, as a share of the capacity of all servers. */
     private static final double LOAD = 0.7;
-    /** The least part of what a server can do that it must get while it is coldest. */
+    /** Minimum share of the work that a server can do in the first half of its cold time that it must get. */
     private static final double LEAST_USE = 0.2;
 
     static Stream<Arguments> fleets() {
@@ -40,7 +40,7 @@
                 }
             }
         }
-        // Many copies, each of which expects less than one call at a cold server in the stated time.
+        // So many copies that each sends a cold server less than one call per window on average.
         for (int copies : new int[] {60, 100, 200}) {
             for (double capacity : new double[] {20, 60}) {
                 for (double burst : new double[] {1.5, 2.2}) {
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The decisions, driven by hand through a fake of the actions. */
+/** Tests of the decision module: each test feeds it events and checks the actions that it requests. */
 class LogicTest {
 
     private static final long MS = Proxy.MS;
@@ -32,7 +32,7 @@
         return new Proxy.Setup();
     }
 
-    /** The ordinary path. */
+    /** Choice of a server while no server fails. */
     @Nested
     class Pick {
 
@@ -107,7 +107,7 @@
 
         @Test
         void aServerThatReportsMoreCallsThanTheOthersGetsFewerTurns() {
-            // Machines slower than registered choked one by one on equal turns.
+            // Given equal numbers of calls, machines slower than registered were overloaded one by one.
             Proxy p = new Proxy(setup()).with("a", "b");
             Map<String, Integer> turns = new HashMap<>();
             for (int i = 0; i < 120; i++) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /** The part of a large fleet that one copy takes turns among. */
+    /** The subset of a large fleet to which one copy sends its calls. */
     @Nested
     class Subset {
 
@@ -200,11 +200,11 @@
                 after.get(copy).removeAll(before.get(copy));
                 moved += after.get(copy).size();
             }
-            assertTrue(moved <= 60, "servers newly used over 30 copies of about 10: " + moved);
+            assertTrue(moved <= 60, "servers added to the subsets of 30 copies, about 10 each: " + moved);
         }
     }
 
-    /** Demotion, rest and waiting. */
+    /** Demotion and ejection of servers, and calls that wait for a server. */
     @Nested
     class Failures {
 
@@ -240,7 +240,7 @@
 
         @Test
         void restsLongerAtEachFurtherFailure() {
-            // A server whose connections are all taken would be crowded further by ever more tries.
+            // Frequent retries would add load to a server that has no free connection.
             Proxy p = new Proxy(setup()).with("a");
             long[] pauses = new long[2];
             for (int i = 0; i < 5; i++) {
@@ -279,7 +279,7 @@
 
         @Test
         void aServerThatErrsFarMoreThanTheOthersRests() {
-            // A server that errs at once is always idle: it would draw ever more calls.
+            // A server that answers errors at once is always idle and would attract more and more calls.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             int errors = 0;
             for (int i = 0; i < 200; i++) {
@@ -294,14 +294,14 @@
 
         @Test
         void errorsOfAllServersAlikeRestNone() {
-            // A failing tier below shows as errors at every server: resting them would only add to the harm.
+            // A failing tier below causes errors at every server; ejecting servers would only cost capacity.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 String r = p.request(Proxy.UNSAFE);
                 assertNotNull(p.at(r));
                 p.pass(20);
                 p.end(r, Outcome.ERROR);
-                // Enough is served for calls to be begun as before.
+                // Enough calls succeed for the congestion control not to reject calls.
                 p.serve();
                 p.serve();
                 p.serve();
@@ -310,7 +310,7 @@
 
         @Test
         void aServerThatStaysSilentRests() {
-            // Connections stand and probes are answered, yet no call is: only overdue calls tell.
+            // A hung server accepts connections and answers probes; only calls past their deadline reveal it.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 8; i++) {
                 p.serve();
@@ -331,7 +331,7 @@
         }
     }
 
-    /** Rule 1: one final answer in time, and nothing after it. */
+    /** Rule 1: each request gets one final answer before its deadline, and nothing after it. */
     @Nested
     class OneAnswer {
 
@@ -391,7 +391,7 @@
         }
     }
 
-    /** Rule 2: no effect twice. */
+    /** Rule 2: a request takes effect at most once. */
     @Nested
     class Effects {
 
@@ -473,12 +473,13 @@
             String r = p.request(Proxy.KEYED);
             p.pass(50);
             p.end(r, Outcome.RESET);
-            assertEquals(1, p.attempts.get(r), "no other server yet");
+            assertEquals(1, p.attempts.get(r), "no other server is known yet");
             p.pass(600);
             p.change("b", 0, ServerStatus.UP);
             p.pass(300);
             assertEquals(1, p.attempts.get(r));
-            assertTrue(p.did("refuse " + r) || p.did("fail " + r), "one final answer: " + p.done);
+            assertTrue(p.did("refuse " + r) || p.did("fail " + r),
+                    "refused or failed expected, actions: " + p.done);
         }
 
         @Test
@@ -505,7 +506,7 @@
         }
     }
 
-    /** Rule 3: drains are kept, and the list is followed. */
+    /** Rule 3: draining servers get no calls, and changes of the list are followed. */
     @Nested
     class Servers {
 
@@ -538,9 +539,9 @@
                     p.pass(10);
                 }
                 last = p.now - failed;
-                assertTrue(last < 8_000 * MS, "pause " + last);
+                assertTrue(last < 8_000 * MS, "pause in us: " + last);
             }
-            assertTrue(last > 500 * MS, "pause " + last);
+            assertTrue(last > 500 * MS, "last pause in us: " + last);
         }
 
         @Test
@@ -566,7 +567,7 @@
         }
     }
 
-    /** Rule 4: a cold server gets a paced share that holds for all copies together. */
+    /** Rule 4: the calls that all copies together send to a cold server stay below its share. */
     @Nested
     class ColdServers {
 
@@ -587,7 +588,8 @@
                 }
             }
             assertTrue(cold > 0, "a cold server must get some work");
-            assertTrue(cold < 0.6 * warm / 4, cold + " calls cold, " + warm / 4 + " to each warm server");
+            assertTrue(cold < 0.6 * warm / 4,
+                    cold + " calls to the cold server, " + warm / 4 + " to each warm server");
         }
 
         @Test
@@ -606,7 +608,8 @@
 
         @Test
         void theWaitOfAColdServerIsReckonedByWhatItCanDoNow() {
-            // Waits set at its start lasted for minutes at copies with few calls, long after it was warm.
+            // A delay computed once at the server's start kept copies with few calls from using it for
+            // minutes, long after it was warm.
             for (int seed = 0; seed < 20; seed++) {
                 Proxy p = new Proxy(setup(), seed).with("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
                 for (int i = 0; i < 20; i++) {
@@ -619,7 +622,8 @@
                     used.add(p.serve());
                     p.pass(1_950);
                 }
-                assertTrue(used.contains("new"), "not used in 28 s, cold for 8, by seed " + seed);
+                assertTrue(used.contains("new"),
+                        "not used within 28 s, though cold for only 8 s; seed " + seed);
             }
         }
 
@@ -638,7 +642,7 @@
         }
     }
 
-    /** The exceptions to the ordinary path. */
+    /** Probes, overload, congestion and quotas of tenants. */
     @Nested
     class Exceptions {
 
@@ -666,9 +670,8 @@
 
         @Test
         void aServerThatIsNeverIdleIsNotAskedFirstEachTime() {
-            // Hung servers keep their backlog and were never assigned: each call asked them first, and the
-            // load they
-            // reported passed for that of all others, until nothing was sent any more.
+            // Hung servers keep their backlog and were never assigned a call, so each call probed them first.
+            // The load that they reported was assumed for all other servers, until nothing was sent any more.
             Proxy p = new Proxy(probing()).with("a", "b", "c", "d", "e", "f", "g", "h");
             for (int i = 0; i < 60; i++) {
                 int seen = p.done.size();
@@ -687,12 +690,14 @@
                 p.end(r, Outcome.OK);
                 p.pass(500);
             }
-            assertTrue(p.count("probe a") + p.count("probe b") < 45, "asked in vain: " + p.count("probe a"));
+            assertTrue(p.count("probe a") + p.count("probe b") < 45,
+                    "probes to hung servers: " + (p.count("probe a") + p.count("probe b")));
         }
 
         @Test
         void asksOneServerAtATimeWhileLoadsAreLight() {
-            // Two probes for each call cost quiet days more than the second one ever found.
+            // Under light load the first probed server is nearly always idle, so a second probe is
+            // wasted cost.
             Proxy p = new Proxy(probing()).with("a", "b", "c", "d");
             String r = p.request(Proxy.SAFE);
             assertEquals(1, p.count("probe"));
@@ -702,7 +707,7 @@
             assertEquals(asked, p.at(r));
         }
 
-        /** A copy that has seen some calls served, each of its probes answered idle. */
+        /** Returns a copy that has had 12 calls served, all of whose probes reported a load of 0. */
         private Proxy served(String... servers) {
             Proxy p = new Proxy(probing()).with(servers);
             for (int i = 0; i < 12; i++) {
@@ -723,14 +728,14 @@
 
         @Test
         void asksAgainOnceProbesThatWereSlowAreQuick() {
-            // A stall of this proxy in its first seconds made it go without probes for the rest of its life.
+            // A stall of the proxy in its first seconds made probes look slow, and it never probed again.
             Proxy p = served("a", "b", "c", "d");
             for (String s : List.of("a", "b", "c", "d")) {
                 p.logic.probeResult(p.now, s, Outcome.OK, 200 * MS, new LoadReport(0, 0, 0));
             }
             p.pass(2_000);
             String slow = p.request(Proxy.SAFE);
-            assertNotNull(p.at(slow), "no call waits for slow probes");
+            assertNotNull(p.at(slow), "a call must not wait for slow probes");
             p.end(slow, Outcome.OK);
             int seen = p.done.size();
             for (int i = 0; i < 40; i++) {
@@ -741,10 +746,10 @@
                 p.pass(300);
                 p.end(r, Outcome.OK);
             }
-            assertNull(p.at(p.request(Proxy.SAFE)), "waits for the answer to its probe");
+            assertNull(p.at(p.request(Proxy.SAFE)), "the call must wait for the answer to its probe");
         }
 
-        /** Answers the probes sent since a line of the record, but none of the servers that are cut off. */
+        /** Answers the probes recorded from an index on, except those to unreachable servers. */
         private void answer(Proxy p, int since, int inFlight, String cutOff) {
             for (int i = since; i < p.done.size(); i++) {
                 String[] words = p.done.get(i).split(" ");
@@ -756,7 +761,8 @@
 
         @Test
         void aServerThatOwesAnAnswerToAProbeIsNotTheNextInTurn() {
-            // It was asked first because its turn was next; the call went to just the one that kept silent.
+            // The least recently assigned server is probed first. When it did not answer, the call went to it
+            // all the same, as it was still the least recently assigned one.
             Proxy p = served("a", "b", "c", "d");
             int seen = p.done.size();
             String r = p.request(Proxy.SAFE);
@@ -768,7 +774,7 @@
 
         @Test
         void aServerRestsFromTheSecondUnansweredProbeOn() {
-            // Cut off, but only demoted, it still got the calls that came while all others were busy.
+            // An unreachable server that was only demoted still got calls while all other servers were busy.
             Proxy p = served("a", "b", "c", "d");
             int before = p.count("probe a");
             for (int i = 0; i < 2; i++) {
@@ -787,7 +793,7 @@
 
         @Test
         void aProbeThatNeverLeftThisMachineSaysNothingOfItsServer() {
-            // Two such rested the server, though it had been asked nothing.
+            // Two probes that failed on the proxy's own machine ejected a server that had received no probe.
             Proxy p = served("a", "b", "c", "d");
             for (int i = 0; i < 2; i++) {
                 p.logic.probeResult(p.now, "a", Outcome.NOT_SENT, 0, null);
@@ -805,8 +811,8 @@
 
         @Test
         void amongBusyServersASilentOneComesLater() {
-            // In a zone cut off from the others more than half of the servers are out of reach, so not all
-            // rest; they drew each call that found the servers in reach busy.
+            // A partition of the zone makes more than half of the servers unreachable, so some of them are
+            // not ejected; those got every call that found the reachable servers busy.
             Proxy p = served("a", "b", "c");
             for (String cutOff : List.of("a", "b", "a", "b")) {
                 p.logic.probeResult(p.now, cutOff, Outcome.TIMEOUT, 50 * MS, null);
@@ -824,7 +830,7 @@
 
         @Test
         void heldCallsKeepTheirOrderAndNoneIsSentThatWouldProbablyBeLate() {
-            // Under overload each call waited its turn to be sent at the last moment: most answers were late.
+            // Under overload each waiting call was sent just before its deadline, so most answers were late.
             Proxy p = new Proxy(setup()).with("a");
             for (int i = 0; i < 12; i++) {
                 p.serve();
@@ -835,7 +841,7 @@
                 String r = p.request(Proxy.SAFE);
                 (p.at(r) == null ? held : sent).add(r);
             }
-            assertTrue(held.size() > 1, "held: " + held);
+            assertTrue(held.size() > 1, "waiting calls: " + held);
             p.pass(100);
             p.end(sent.get(0), Outcome.OK);
             String newest = held.get(held.size() - 1);
@@ -851,7 +857,7 @@
             for (String r : held) {
                 assertTrue(p.at(r) != null || p.did("refuse " + r) || p.did("fail " + r), r);
             }
-            assertNull(p.at(newest), "sent with 40 of 400 ms left");
+            assertNull(p.at(newest), "sent though only 40 of 400 ms were left");
         }
 
         @Test
@@ -871,7 +877,7 @@
 
         @Test
         void sendsNothingThatCouldNotBeAnsweredInTime() {
-            // Every copy's queue of late work kept the whole tier busy with answers that came past the aim.
+            // The calls that each copy queued kept the whole tier busy with answers later than the aim.
             Proxy p = new Proxy(setup()).with("a", "b");
             for (int i = 0; i < 10; i++) {
                 p.serve();
@@ -887,7 +893,8 @@
 
         @Test
         void whereCallsAskForLoadsThoseBeyondTheShareStillGoToIdleServers() {
-            // A copy that sees a call a second of a tenant refused calls within its share, by chance.
+            // A copy that gets a tenant's calls unevenly, about one per second, refused calls within the
+            // quota.
             Proxy.Setup setup = probing();
             setup.quota = 3;
             Proxy p = new Proxy(setup).with("a", "b", "c");
@@ -904,7 +911,7 @@
 
         @Test
         void callsThatAJamKeepsFromBeginningUseUpNoShare() {
-            // Clients' retries in a jam used up their tenant's share, and service came back late.
+            // Retries of clients during congestion used up their tenant's quota and delayed the recovery.
             Proxy.Setup setup = setup();
             setup.quota = 3;
             Proxy p = new Proxy(setup).with("a", "b", "c", "d");
@@ -936,7 +943,7 @@
 
         @Test
         void requestsBeyondTheirTenantsShareAreNotBegun() {
-            // They earn little, and kept a crowd going that took the place of those within their share.
+            // Requests beyond the quota have little worth, and they displaced requests within the quota.
             Proxy.Setup setup = setup();
             setup.quota = 30;
             Proxy p = new Proxy(setup).with("a", "b");
@@ -951,22 +958,23 @@
                     assertTrue(p.did("refuse " + r));
                 }
             }
-            assertTrue(sent >= 10 && sent <= 20, "of 60 in 0.6 s, ten a second for this copy: " + sent);
-            assertNotNull(p.serve(), "other tenants come as before");
+            assertTrue(sent >= 10 && sent <= 20,
+                    "sent of 60 in 0.6 s, with a quota of 10 per second for this copy: " + sent);
+            assertNotNull(p.serve(), "requests of other tenants are served as before");
             p.pass(2_000);
-            assertNotNull(p.at(p.request(Proxy.SAFE, 1)), "after a pause there is share again");
+            assertNotNull(p.at(p.request(Proxy.SAFE, 1)), "after a pause the quota has refilled");
         }
 
         @Test
         void inAJamFewCallsAreBegunAndAllAgainOnceTheyAreServed() {
-            // Servers kept working for callers that had gone, and each further call kept them so.
+            // Servers worked on calls whose callers had gone, and each further call kept the congestion up.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 p.request(Proxy.SAFE);
                 p.pass(100);
             }
             int begun = p.sentTo.size();
-            assertTrue(begun < 40, "calls begun of 100, none served: " + begun);
+            assertTrue(begun < 40, "calls sent of 100, none served: " + begun);
             assertEquals(1, p.count("log jam"));
             for (int i = 0; i < 100; i++) {
                 String r = p.request(Proxy.SAFE);
@@ -985,7 +993,7 @@
 
         @Test
         void clientsThatLeaveEarlyMakeNoJam() {
-            // Impatient clients passed for calls that servers were too slow for.
+            // Clients that disconnect early were counted as calls that the servers had served too slowly.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 String left = p.request(Proxy.SAFE);
@@ -1013,7 +1021,8 @@
 
         @Test
         void aBurstOfFailuresIsForgottenWhileNoCallIsBegun() {
-            // Only calls that were begun let the count fade: a copy with few calls refused them for seconds.
+            // The failure count decayed only when a call was sent, so a copy with few calls refused them for
+            // seconds.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             List<String> failed = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
@@ -1026,7 +1035,7 @@
             p.pass(2_000);
             for (int i = 0; i < 20; i++) {
                 String r = p.request(Proxy.SAFE);
-                assertNotNull(p.at(r), "refused after " + 2 * (i + 1) + " s");
+                assertNotNull(p.at(r), "refused " + 2 * (i + 1) + " s after the failures");
                 p.pass(2_000);
                 p.end(r, Outcome.OK);
             }
@@ -1034,12 +1043,12 @@
 
         @Test
         void longCallsDoNotMakeTheServersThatGetThemLookSlow() {
-            // Slow servers took only long calls, looked slower for it and stood half idle.
+            // Slow servers got only long calls, so they were estimated as slower still and were half idle.
             Proxy p = new Proxy(setup()).with("a", "b");
             String held = p.request(Proxy.SAFE);
             String other = p.at(held).equals("a") ? "b" : "a";
             for (int i = 0; i < 200; i++) {
-                // While the one is busy, the other gets all that comes: long calls here, short ones there.
+                // While one server is busy, the other gets every call: a only long calls, b only short ones.
                 String r = p.request(other.equals("a") ? Proxy.UNSAFE : Proxy.SAFE);
                 assertEquals(other, p.at(r));
                 long took = other.equals("a") ? 90 : 30;
@@ -1061,13 +1070,13 @@
             List<String> sent = p.done.subList(before, p.done.size());
             long toLong = sent.stream().filter(line -> line.matches("send r\\d+ a .*")).count();
             long toShort = sent.stream().filter(line -> line.matches("send r\\d+ b .*")).count();
-            assertTrue(toLong * 2 > toShort, toLong + " and " + toShort);
+            assertTrue(toLong * 2 > toShort, "calls sent to a: " + toLong + ", to b: " + toShort);
         }
 
         @Test
         void aMarkedLastTryWhoseAimHasPassedIsNotSent() {
-            // A last try has all that is left of the client's time, which tells when the first one came; work
-            // for answers that were long late went on under overload.
+            // The last try of a client carries its remaining time, which shows when the first try arrived.
+            // Under overload, calls whose aim had passed since the first try were sent all the same.
             Proxy p = new Proxy(setup()).with("a", "b");
             for (int i = 0; i < 12; i++) {
                 p.serve();
@@ -1078,9 +1087,10 @@
             p.logic.request(p.now, new Request("soon", Proxy.SAFE, 0, 900 * MS, 0, true));
             p.logic.request(p.now, new Request("late", Proxy.SAFE, 0, 500 * MS, 0, true));
             assertNotNull(p.at("first"));
-            assertNotNull(p.at("again"), "a full try tells nothing of the first one");
-            assertNotNull(p.at("soon"), "100 of 400 ms have passed");
-            assertNull(p.at("late"), "500 of 400 ms have passed");
+            assertNotNull(p.at("again"),
+                    "a retry with its full time left does not show when the first try arrived");
+            assertNotNull(p.at("soon"), "100 ms of the aim of 400 ms have passed");
+            assertNull(p.at("late"), "500 ms have passed, more than the aim of 400 ms");
             assertTrue(p.did("fail late") || p.did("refuse late"));
         }
 
@@ -1102,7 +1112,8 @@
                     p.end(r, Outcome.OK);
                 }
             }
-            assertTrue(p.count("send") - before > 100, "sent afterwards: " + (p.count("send") - before));
+            assertTrue(p.count("send") - before > 100,
+                    "calls sent after the slow period: " + (p.count("send") - before));
         }
     }
 
@@ -1120,7 +1131,7 @@
         assertFalse(new Proxy(setup()).did("anything"));
     }
 
-    /** Servers left out by the operator's word. */
+    /** Servers in maintenance by the operator's command. */
     @Nested
     class Maintenance {
 
@@ -1147,7 +1158,7 @@
             p.logic.maintenance(p.now, "a", true);
             p.pass(3_000);
             p.logic.maintenance(p.now, "a", false);
-            assertTrue(usedWithin(5_000, 300), "an idle copy's few calls reach it");
+            assertTrue(usedWithin(5_000, 300), "a copy with few calls uses the server again within 5 s");
         }
 
         @Test
@@ -1159,13 +1170,13 @@
             busy.logic.maintenance(busy.now, "a", true);
             busy.pass(1_000);
             busy.logic.maintenance(busy.now, "a", false);
-            // Its restart becomes known later, and is the same.
+            // The list reports the restart that took place during the maintenance only afterwards.
             busy.change("a", busy.now - 500 * MS, ServerStatus.UP);
             int taken = 0;
             for (int i = 0; i < 40; i++) {
                 taken += "a".equals(busy.serve()) ? 1 : 0;
             }
-            assertTrue(taken >= 1 && taken <= 6, "a warm one would take 10 of 40 turns, this one: " + taken);
+            assertTrue(taken >= 1 && taken <= 6, "calls of 40, where a warm server would get 10: " + taken);
         }
 
         @Test
@@ -1214,7 +1225,7 @@
         }
     }
 
-    /** What a copy that has just started knows of the time that calls take. */
+    /** Estimates of service times in a copy that has just started. */
     @Nested
     class Beginning {
 
@@ -1226,13 +1237,14 @@
             p.logic.outcome(p.now, first, 0, p.at(first), Outcome.OK, 410 * MS, true, null);
             p.pass(1_000);
             for (int i = 0; i < 5; i++) {
-                assertNotNull(p.serve(), "begun, though the only call seen took longer than the aim");
+                assertNotNull(p.serve(),
+                        "must be sent, though the only call so far took longer than the aim");
             }
             assertEquals(0, p.count("refuse"));
         }
     }
 
-    /** Bodies too large to be held, on their way in either direction. */
+    /** Request and response bodies too large to be buffered, which are streamed. */
     @Nested
     class Large {
 
@@ -1247,7 +1259,7 @@
             return new HashSet<>(List.of(p.at(p.request(Proxy.SAFE)), p.at(p.request(Proxy.SAFE))));
         }
 
-        /** Lets both servers be known to take 50 ms. */
+        /** Serves 20 calls so that both servers are known to take 50 ms per call. */
         private void learn() {
             for (int i = 0; i < 20; i++) {
                 p.serve();
@@ -1284,7 +1296,7 @@
             p.pass(20_000);
             p.logic.uploaded(p.now, "up");
             String other = p.at(p.request(Proxy.SAFE));
-            assertNotEquals(server, other, "it is busy now");
+            assertNotEquals(server, other, "the server works on the uploaded request now");
             p.pass(900);
             p.end("up", Outcome.TIMEOUT);
             assertTrue(p.did("fail up") || p.did("refuse up"));
@@ -1296,7 +1308,7 @@
             p.logic.bodySpent(p.now, "up");
             p.end("up", Outcome.CONNECT_FAILED);
             assertEquals(1, p.attempts.get("up"));
-            assertTrue(p.did("refuse up"), "nothing ran, so the client may come again");
+            assertTrue(p.did("refuse up"), "the request did not run, so the client may retry");
         }
 
         @Test
@@ -1318,7 +1330,8 @@
             p.pass(60_000);
             assertEquals(1, p.attempts.get(request));
             p.end(request, Outcome.RESET);
-            assertFalse(p.did("fail " + request) || p.did("refuse " + request), "the client has its answer");
+            assertFalse(p.did("fail " + request) || p.did("refuse " + request),
+                    "the client already gets its answer");
         }
     }
 }
--- a/src/test/java/larkworks/ModuleShapeTest.java
+++ b/src/test/java/larkworks/ModuleShapeTest.java
@@ -16,11 +16,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The module's files, as the deploy file names them: all there are, none too long, no I/O and no clock. */
+/**
+ * The deploy file lists all source files of the decision module; they are short and use no I/O and no clock.
+ */
 class ModuleShapeTest {
 
     private static final Path FOLDER = Path.of("src/main/java/larkworks");
-    /** Types and checks that the module's callers share with it; they decide nothing. */
+    /** Types and checks that the callers of the decision module share with it; they make no decisions. */
     private static final Set<String> SHARED = Set.of("Balancer.java", "SettingsCheck.java",
             "package-info.java");
     private static final int MOST_LINES = 1_200;
@@ -48,7 +50,7 @@
     void noFileOfTheModuleIsTooLongToRead() throws IOException {
         for (Path file : named()) {
             long lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
-            assertTrue(lines > 0 && lines <= MOST_LINES, file + " has " + lines + " lines");
+            assertTrue(lines > 0 && lines <= MOST_LINES, file + " has " + lines + " non-blank lines");
         }
     }
 
@@ -56,7 +58,7 @@
     void theModuleHasNoInputOutputNorClock() throws IOException {
         for (Path file : named()) {
             Matcher found = OUTSIDE.matcher(Files.readString(file));
-            assertFalse(found.find(), () -> file + ": " + found.group());
+            assertFalse(found.find(), () -> file + " uses " + found.group());
         }
     }
 }
--- a/src/test/java/larkworks/Program.java
+++ b/src/test/java/larkworks/Program.java
@@ -14,17 +14,18 @@
 import java.util.function.BooleanSupplier;
 import larkworks.adapter.Json;
 
-/** One real process of our program, on the tests' own class path, with what it says collected. */
+/** A process that runs {@code larkworks} on the class path of the tests, and the lines that it prints. */
 public final class Program implements AutoCloseable {
 
     public final Process process;
-    /** What it wrote to both streams, line by line. */
+    /** The lines that the process has written to standard output and standard error. */
     public final List<String> lines = new CopyOnWriteArrayList<>();
 
     /**
      * Starts {@code larkworks ARGS}.
      *
-     * @param shell a shell command before it, such as {@code ulimit -f 8}; "" for none
+     * @param shell a shell command to run before it, such as {@code ulimit -f 8}; "" for none
+     * @param environment variables that are added to those of the tests
      */
     public Program(String shell, Map<String, String> environment, String... args) throws IOException {
         List<String> command = new ArrayList<>(List.of("bash", "-c", (shell.isEmpty() ? "" : shell + "; ")
@@ -44,11 +45,11 @@
                 StandardCharsets.UTF_8))) {
             in.lines().forEach(lines::add);
         } catch (IOException | java.io.UncheckedIOException e) {
-            lines.add("(closed: " + e + ")");
+            lines.add("(output closed: " + e + ")");
         }
     }
 
-    /** The first log line with this message, waited for. */
+    /** Waits up to 30 s for a log line with this message and returns the fields of the first one. */
     public Map<String, Object> logged(String message) throws InterruptedException {
         Map<String, Object> found = new java.util.HashMap<>();
         await(30, () -> lines.toString(), () -> {
@@ -69,16 +70,19 @@
         return found;
     }
 
-    /** SIGKILL. */
+    /** Kills the process with SIGKILL and waits for its end. */
     public void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
 
+    /** Sends the process a signal. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
     }
 
-    /** Waits for a condition, looked at every 20 ms; fails with {@code told} where it never holds. */
+    /**
+     * Waits until a condition holds, checked every 20 ms; fails with the text {@code told} after a timeout.
+     */
     public static void await(int seconds, java.util.function.Supplier<String> told, BooleanSupplier condition)
             throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
--- a/src/test/java/larkworks/Proxy.java
+++ b/src/test/java/larkworks/Proxy.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A hand-driven proxy around one instance of the module: time moves only when told to. */
+/** Drives one copy of the decision module in simulated time and records the actions that it requests. */
 final class Proxy implements Actions {
 
     static final long MS = 1000;
@@ -28,7 +28,7 @@
     static final int KEYED = 2;
     static final int KEYED_IN_ZONE = 3;
 
-    /** Settings to vary in a test. */
+    /** The settings that tests vary, with their default values. */
     static final class Setup {
         boolean probes;
         double crossZonePrice;
@@ -41,9 +41,9 @@
         double coldFrom = 0.25;
         double tipMultiple = 2;
         long aimUs = 400 * MS;
-        /** Further classes, after the usual four. */
+        /** Classes added after the four of {@link #settings}. */
         List<RequestClass> more = List.of();
-        /** Requests a second within the share of tenant 1; tenant 0 is unlimited. */
+        /** Quota of tenant 1 in requests per second over all copies; tenant 0 has no quota. */
         double quota;
 
         Settings settings() {
@@ -63,8 +63,11 @@
     }
 
     final Logic logic;
+    /** The requested actions, one line each: the name of the action and its arguments. */
     final List<String> done = new ArrayList<>();
+    /** Number of attempts sent, by request. */
     final Map<String, Integer> attempts = new HashMap<>();
+    /** Server of each attempt, by request. */
     final Map<String, List<String>> sentTo = new HashMap<>();
     long now = 1_000_000 * MS;
     private long wakeAt = Long.MAX_VALUE;
@@ -78,7 +81,7 @@
         this(setup, 7);
     }
 
-    /** Starts with warm servers, two to a zone. */
+    /** Gives the module an initial list of warm servers, two in each zone. */
     Proxy with(String... ids) {
         List<Server> list = new ArrayList<>();
         for (String id : ids) {
@@ -88,36 +91,41 @@
         return this;
     }
 
+    /** Reports a change of one server to the module. */
     void change(String id, long startedAtUs, ServerStatus status) {
         logic.serversChanged(now, ListKind.CHANGES, List.of(new Server(id, startedAtUs, 0, 0, 1, status)));
     }
 
+    /** Sends a request of a class for tenant 0 and returns its id. */
     String request(int kind) {
         return request(kind, 0);
     }
 
+    /** Sends a request of a class for a tenant, with a deadline of 1 s, and returns its id. */
     String request(int kind, int tenant) {
         String id = "r" + requests++;
         logic.request(now, new Request(id, kind, tenant, 1_000 * MS, 0, false));
         return id;
     }
 
-    /** The server of the latest attempt of a request, or null. */
+    /** Returns the server of the latest attempt of a request, or null before its first attempt. */
     String at(String request) {
         List<String> servers = sentTo.get(request);
         return servers == null ? null : servers.get(servers.size() - 1);
     }
 
+    /** Ends the latest attempt of a request, 50 ms after it was sent. */
     void end(String request, Outcome outcome) {
         end(request, attempts.get(request) - 1, outcome);
     }
 
+    /** Ends an attempt of a request, 50 ms after it was sent. */
     void end(String request, int attempt, Outcome outcome) {
         logic.outcome(now, request, attempt, sentTo.get(request).get(attempt), outcome, 50 * MS,
                 outcome == Outcome.OK, null);
     }
 
-    /** Sends a request, has it served after a while, and returns who served it. */
+    /** Sends a safe request, ends it successfully after 50 ms and returns the server that got it. */
     String serve() {
         String request = request(SAFE);
         String server = at(request);
@@ -126,12 +134,13 @@
         return server;
     }
 
+    /** Answers a probe of a server with a load report, 1 ms after it was sent. */
     void report(String server, int inFlight) {
         logic.probeResult(now, server, Outcome.OK, 1 * MS, new LoadReport(inFlight, Math.max(0, inFlight
                 - 1), 0));
     }
 
-    /** Lets time pass and rings the timers that fall due. */
+    /** Advances the simulated time and fires the timers that expire. */
     void pass(long ms) {
         long until = now + ms * MS;
         while (wakeAt <= until) {
@@ -142,10 +151,12 @@
         now = until;
     }
 
+    /** Returns the number of recorded actions that begin with a text. */
     int count(String start) {
         return (int) done.stream().filter(line -> line.startsWith(start)).count();
     }
 
+    /** Returns whether an action with exactly this text was recorded. */
     boolean did(String line) {
         return done.contains(line);
     }
--- a/src/test/java/larkworks/RulesTest.java
+++ b/src/test/java/larkworks/RulesTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random but legal events under varied settings: the rules hold after each, whatever the outcomes. */
+/** Feeds random legal events to the decision module under random settings and checks the rules after each. */
 class RulesTest {
 
     private static final long MS = 1000;
@@ -44,11 +44,13 @@
             run.play(2_000);
             sends += run.sends;
         }
-        assertTrue(sends > 1_500, "too little happened: " + sends);
+        assertTrue(sends > 1_500, "too few attempts sent: " + sends);
     }
 
+    /** A scheduled event; events of the same time run in the order in which they were scheduled. */
     private record Due(long atUs, long order, Runnable event) { }
 
+    /** An attempt of a request. */
     private static final class Try {
         String server;
         long sentAtUs;
@@ -57,6 +59,7 @@
         boolean mayHaveRun = true;
     }
 
+    /** A request and what has become of it so far. */
     private static final class Asked {
         Request request;
         RequestClass kind;
@@ -66,7 +69,7 @@
         final List<Try> tries = new ArrayList<>();
     }
 
-    /** One copy in a world of chance. */
+    /** One copy of the decision module with random requests, outcomes and changes of the list. */
     private static final class Run implements Actions {
         final SplittableRandom random;
         final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.atUs() != b.atUs()
@@ -120,7 +123,7 @@
                 step();
             }
             asked.forEach((id, a) -> assertTrue(a.answered || a.streaming || a.deadlineUs >= now - MS,
-                    () -> id + " has no answer"));
+                    () -> id + " was never answered"));
         }
 
         private void step() {
@@ -143,8 +146,8 @@
             a.deadlineUs = now + left;
             asked.put(a.request.id(), a);
             at(a.deadlineUs + 2 * MS, () -> assertTrue(a.answered || a.streaming,
-                    () -> a.request + " was not answered in time; tries " + a.tries.size() + " out "
-                    + a.tries.stream().filter(t -> t.out).count() + " " + settings));
+                    () -> a.request + " was not answered before its deadline; attempts " + a.tries.size()
+                    + ", in flight " + a.tries.stream().filter(t -> t.out).count() + " " + settings));
             at(now + random.nextLong(60 * MS), this::arrive);
             logic.request(now, a.request);
             if (random.nextInt(40) == 0) {
@@ -192,26 +195,29 @@
         public void send(String id, String server, long timeoutUs) {
             sends++;
             Asked a = asked.get(id);
-            assertTrue(!a.answered && !a.streaming, () -> id + " was sent after its end");
-            assertTrue(now <= a.deadlineUs, () -> id + " was sent after its time");
+            assertTrue(!a.answered && !a.streaming, () -> id + " was sent after it had been answered");
+            assertTrue(now <= a.deadlineUs, () -> id + " was sent after its deadline");
             assertTrue(known.containsKey(server), () -> server + " was never listed");
-            assertTrue(now <= closedAtUs.getOrDefault(server, now) + GRACE_US, () -> server + " drains");
+            assertTrue(now <= closedAtUs.getOrDefault(server, now) + GRACE_US,
+                    () -> server + " got a request after its drain grace period");
             assertTrue(a.tries.size() < settings.limits().maxAttempts(), () -> id + ": too many attempts");
             assertTrue(settings.limits().secondCopies() || a.tries.stream().noneMatch(t -> t.out),
-                    () -> id + ": two attempts out together");
+                    () -> id + ": two attempts in flight although hedging is not allowed");
             Server to = known.get(server);
             a.tries.stream().filter(t -> t.mayHaveRun).forEach(t -> {
-                assertTrue(a.kind.effect() != Effect.UNSAFE, () -> id + " may run twice");
+                assertTrue(a.kind.effect() != Effect.UNSAFE,
+                        () -> id + " was sent again though it may have run");
                 if (a.kind.effect() == Effect.KEYED) {
-                    assertTrue(now - t.sentAtUs <= a.kind.dedupWindowUs(), () -> id + ": window is over");
+                    assertTrue(now - t.sentAtUs <= a.kind.dedupWindowUs(),
+                            () -> id + ": sent again after its deduplication window");
                 }
             });
             if (a.kind.effect() == Effect.KEYED && a.kind.group() != DedupGroup.ALL) {
                 a.tries.stream().filter(t -> t.mayHaveRun).forEach(t -> {
                     Server before = known.get(t.server);
-                    assertEquals(before.zone(), to.zone(), () -> id + " left its zone");
+                    assertEquals(before.zone(), to.zone(), () -> id + " was sent again to another zone");
                     assertTrue(a.kind.group() == DedupGroup.ZONE || before.group() == to.group(),
-                            () -> id + " left its cell");
+                            () -> id + " was sent again to another cell");
                 });
             }
             Try t = new Try();
@@ -293,7 +299,7 @@
 
         @Override
         public void watchServers() {
-            assertTrue(settings.watch(), "nothing to watch");
+            assertTrue(settings.watch(), "a watch is not allowed");
             at(now + random.nextLong(200 * MS), () -> {
                 if (random.nextInt(3) == 0) {
                     logic.discoveryFailed(now);
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -10,7 +10,7 @@
 import larkworks.Balancer.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** What the module makes of what the fleet shares, and what it tells the fleet. */
+/** How the decision module applies verdicts, budgets and affinities of the fleet, and what it publishes. */
 class SharedEventsTest {
 
     private static final long MS = Proxy.MS;
@@ -31,7 +31,7 @@
         assertEquals("a", p.serve());
         assertEquals("a", p.serve());
         p.logic.peerVerdict(p.now, "b", Verdict.DEMOTED, p.now);
-        assertEquals("b", p.serve(), "taken back");
+        assertEquals("b", p.serve(), "the demotion was withdrawn");
     }
 
     @Test
@@ -41,7 +41,8 @@
         String second = p.serve();
         p.logic.peerVerdict(p.now, first, Verdict.RESTS, p.now + 500 * MS);
         assertEquals(second, p.at(p.request(Proxy.SAFE)));
-        assertEquals(first, p.at(p.request(Proxy.SAFE)), "demoted, not at rest: the other is busy");
+        assertEquals(first, p.at(p.request(Proxy.SAFE)),
+                "demoted, not ejected: it is used as the other server is busy");
     }
 
     @Test
@@ -71,9 +72,9 @@
         assertEquals("b", p.serve());
         assertTrue(p.did("budget a short"));
         p.logic.serverBudget(p.now, "a", 5, p.now - 1);
-        assertEquals("b", p.serve(), "its time is over");
+        assertEquals("b", p.serve(), "the new budget has already expired");
         p.logic.serverBudget(p.now, "a", 0, 0);
-        assertEquals("a", p.serve(), "no budget any more");
+        assertEquals("a", p.serve(), "the budget was removed");
     }
 
     @Test
@@ -85,7 +86,7 @@
         p.request(Proxy.SAFE);
         assertEquals(refused + 1, p.count("refuse"));
         assertTrue(p.did("class 0 short"));
-        assertNotEquals(null, p.at(p.request(Proxy.UNSAFE)), "the other class has no budget");
+        assertNotEquals(null, p.at(p.request(Proxy.UNSAFE)), "no budget is set for the other class");
     }
 
     @Test
@@ -95,6 +96,6 @@
         assertEquals("c", p.serve());
         assertEquals("c", p.serve());
         assertEquals("c", p.at(p.request(Proxy.SAFE)));
-        assertNotEquals("c", p.at(p.request(Proxy.SAFE)), "it is busy with a call of this copy");
+        assertNotEquals("c", p.at(p.request(Proxy.SAFE)), "its server is busy with a call of this copy");
     }
 }
--- a/src/test/java/larkworks/SocketOwner.java
+++ b/src/test/java/larkworks/SocketOwner.java
@@ -8,16 +8,19 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Which process holds the other end of a connection on this machine, by {@code /proc}; for tests. */
+/** Finds out from {@code /proc} whether a process owns the remote end of a connection on this machine. */
 public final class SocketOwner {
 
+    /** Columns of the tables {@code /proc/net/tcp} and {@code /proc/net/tcp6}. */
     private static final int LOCAL = 1;
     private static final int REMOTE = 2;
     private static final int INODE = 9;
 
     private SocketOwner() { }
 
-    /** Whether a process holds the other end; false where either is gone. */
+    /**
+     * Returns whether a process owns the remote end of a socket; false if the process or that end is gone.
+     */
     public static boolean holds(Process process, Socket near) {
         try {
             String inode = inode(near.getPort(), near.getLocalPort());
@@ -42,10 +45,11 @@
         try {
             return Files.readSymbolicLink(link).toString();
         } catch (IOException e) {
-            return "";  // closed since the directory was read
+            return "";  // The descriptor was closed after the directory was listed.
         }
     }
 
+    /** Returns the inode of the socket with these ports, or "" if there is none. */
     private static String inode(int localPort, int remotePort) throws IOException {
         for (String table : List.of("/proc/net/tcp6", "/proc/net/tcp")) {
             for (String line : Files.readAllLines(Path.of(table))) {
--- a/src/test/java/larkworks/SyscallFaults.java
+++ b/src/test/java/larkworks/SyscallFaults.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Has system calls of a process fail by rule, through a library loaded before the C library. The rules are
- * described in {@code src/test/c/syscall_faults.c}, which is compiled at first use.
+ * Makes system calls of a process fail according to rules, through a library that is loaded before the C
+ * library. Its source {@code src/test/c/syscall_faults.c} describes the rules; it is compiled at first use.
  */
 public final class SyscallFaults {
 
@@ -19,7 +19,11 @@
 
     private SyscallFaults() { }
 
-    /** Environment of a process in which calls fail by these rules; seeds the rules with a chance. */
+    /**
+     * Returns environment variables for a process whose system calls fail according to these rules.
+     *
+     * @param seed seed for the rules that apply with a probability
+     */
     public static Map<String, String> environment(String rules, long seed) {
         Map<String, String> environment = new HashMap<>();
         environment.put("LD_PRELOAD", library().toString());
@@ -29,10 +33,11 @@
     }
 
     /**
-     * The same for a process that stores files.
+     * Returns environment variables for a process whose system calls on sockets and files fail according to
+     * these rules.
      *
-     * @param folder rules for files hold below this folder only
-     * @param counts gets a byte for each call on a file there
+     * @param folder rules for files apply only to files below this folder
+     * @param counts file to which a byte is written for each call on a file below the folder
      */
     public static Map<String, String> environment(String rules, long seed, Path folder, Path counts) {
         Map<String, String> environment = environment(rules, seed);
@@ -58,14 +63,14 @@
                     .redirectErrorStream(true).start();
             String said = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             if (compiler.waitFor() != 0) {
-                throw new AssertionError(SOURCE + " can't be compiled: " + said);
+                throw new AssertionError(SOURCE + " cannot be compiled: " + said);
             }
             Files.move(fresh, LIBRARY, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            throw new AssertionError("a C compiler is needed, called cc: " + e.getMessage(), e);
+            throw new AssertionError("a C compiler named cc is needed: " + e.getMessage(), e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new AssertionError("interrupted while compiling", e);
+            throw new AssertionError("interrupted while compiling " + SOURCE, e);
         }
     }
 }
--- a/src/test/java/larkworks/TcpRelay.java
+++ b/src/test/java/larkworks/TcpRelay.java
@@ -13,20 +13,22 @@
 import java.util.function.Predicate;
 
 /**
- * A fault relay for TCP, for tests: what comes to {@link #address()} goes to a target, as the rules allow.
+ * A TCP relay that injects network faults: it forwards connections to {@link #address()} to a target address,
+ * and can refuse or black-hole them.
  */
 public final class TcpRelay implements AutoCloseable {
 
     private final ServerSocket listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-    /** Both ends of each connection; those in {@code silent} stay open, and nothing passes on them. */
+    /** The client and target sockets of all connections. */
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
+    /** Sockets that stay open but whose bytes are discarded. */
     private final Set<Socket> silent = ConcurrentHashMap.newKeySet();
-    /** The ends towards whoever connected. */
+    /** The client sockets. */
     private final Set<Socket> nears = ConcurrentHashMap.newKeySet();
     private volatile Predicate<Socket> cut = near -> false;
     private volatile InetSocketAddress target;
     private volatile boolean refusing;
-    /** Connections turned away. */
+    /** Number of connections closed at once because the relay refused connections. */
     public final AtomicInteger refused = new AtomicInteger();
 
     public TcpRelay(InetSocketAddress target) throws IOException {
@@ -34,15 +36,17 @@
         run(this::accept);
     }
 
+    /** Returns host and port of the relay. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
+    /** Sets the target of new connections. */
     public void target(InetSocketAddress other) {
         target = other;
     }
 
-    /** Ends all connections, and turns new ones away until told otherwise. */
+    /** Closes all connections and refuses new ones; {@code false} accepts new connections again. */
     public void refuse(boolean now) throws IOException {
         refusing = now;
         if (now) {
@@ -52,16 +56,17 @@
         }
     }
 
-    /** Connections open now stay open and carry nothing more; new ones are carried. */
+    /** Keeps the present connections open but discards their bytes; new connections are forwarded. */
     public void silence() {
         silent.addAll(sockets);
     }
 
     /**
-     * From now on connections of whom the condition holds, open or new, stay open and carry nothing: a cut
-     * in the network. Those of whom it does not hold any more are ended, as a healed network would in time.
+     * Simulates a network partition: present and new connections of the selected clients stay open, but their
+     * bytes are discarded. Connections that were partitioned before and are not selected now are closed, as
+     * they would be some time after the network has recovered.
      *
-     * @param who asked of the end towards whoever connected
+     * @param who whether the client at the other end of a client socket is partitioned
      */
     public void cut(Predicate<Socket> who) throws IOException {
         cut = who;
@@ -83,7 +88,7 @@
             try {
                 job.run();
             } catch (IOException e) {
-                // One of the two ends is gone, or the test is over.
+                // A client or the target has closed the connection, or the test has ended.
             }
         }, "tcp-relay");
         thread.setDaemon(true);
