--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -33,7 +33,7 @@
 
     @ParameterizedTest
     @CsvSource({"30,5,false", "3200,5,false", "3200,5,true", "3200,640,false", "3200,640,true"})
-    void aCallLooksAtFewServers(int servers, int copies, boolean probes) {
+    void choosingAServerExaminesABoundedNumberOfServers(int servers, int copies, boolean probes) {
         Proxy.Setup setup = new Proxy.Setup();
         setup.copies = copies;
         setup.probes = probes;
--- a/src/test/java/larkworks/ColdServerFleetTest.java
+++ b/src/test/java/larkworks/ColdServerFleetTest.java
@@ -57,7 +57,7 @@
 
     @ParameterizedTest
     @MethodSource("fleets")
-    void allCopiesTogetherKeepToTheBudgetOfAColdServer(Scenario scenario) {
+    void allCopiesTogetherStayWithinTheBudgetOfAColdServer(Scenario scenario) {
         List<Executable> checks = new ArrayList<>();
         for (int seed = 0; seed < SEEDS; seed++) {
             for (Verdict verdict : ColdServerFleet.play(scenario, seed)) {
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -37,7 +37,7 @@
     class Pick {
 
         @Test
-        void takesIdleServersBeforeBusyOnes() {
+        void prefersIdleServersToBusyOnes() {
             Proxy p = new Proxy(setup()).with("a", "b", "c");
             Set<String> taken = new HashSet<>();
             for (int i = 0; i < 3; i++) {
@@ -47,7 +47,7 @@
         }
 
         @Test
-        void takesTheFewestInFlightWhenNoneIsIdle() {
+        void picksTheServerWithFewestInFlightWhenNoneIsIdle() {
             Proxy p = new Proxy(setup()).with("a", "b");
             String first = p.request(Proxy.SAFE);
             p.request(Proxy.SAFE);
@@ -59,7 +59,7 @@
         }
 
         @Test
-        void takesTheEarliestAssignedAmongIdleServers() {
+        void picksTheLeastRecentlyAssignedAmongIdleServers() {
             Proxy p = new Proxy(setup()).with("a", "b", "c");
             String[] round = {p.serve(), p.serve(), p.serve()};
             for (String server : round) {
@@ -68,7 +68,7 @@
         }
 
         @Test
-        void takesNeverUsedServersInAnOrderOfTheCopysOwn() {
+        void picksUnusedServersInAnOrderThatDependsOnTheSeed() {
             Set<List<String>> orders = new HashSet<>();
             for (int seed = 0; seed < 20; seed++) {
                 Proxy p = new Proxy(setup(), seed).with("a", "b", "c");
@@ -78,7 +78,7 @@
         }
 
         @Test
-        void givesASlowServerFewerTurns() {
+        void slowServerGetsFewerCalls() {
             Proxy p = new Proxy(setup()).with("a", "b");
             Map<String, Integer> turns = new HashMap<>();
             for (int i = 0; i < 120; i++) {
@@ -93,7 +93,7 @@
         }
 
         @Test
-        void aServerRegisteredAsSmallGetsFewerTurnsBeforeItsTimesAreKnown() {
+        void serverWithSmallRegisteredSizeGetsFewerCallsFromTheStart() {
             Proxy p = new Proxy(setup());
             p.logic.serversChanged(p.now, ListKind.REMEMBERED, List.of(
                     new Server("small", 0, 0, 0, 1, ServerStatus.UP),
@@ -106,7 +106,7 @@
         }
 
         @Test
-        void aServerThatReportsMoreCallsThanTheOthersGetsFewerTurns() {
+        void serverThatReportsMoreInFlightCallsGetsFewerCalls() {
             // Given equal numbers of calls, machines slower than registered were overloaded one by one.
             Proxy p = new Proxy(setup()).with("a", "b");
             Map<String, Integer> turns = new HashMap<>();
@@ -122,7 +122,7 @@
         }
 
         @Test
-        void usesServersOfOtherZonesHalfAsOftenWhereCrossingsHaveAPriceAndLocksNoneOut() {
+        void crossZonePriceReducesCallsToOtherZonesWithoutExcludingThem() {
             Proxy.Setup setup = setup();
             setup.crossZonePrice = 0.01;
             Proxy p = new Proxy(setup).with("near", "near2", "far", "far2");
@@ -135,7 +135,7 @@
         }
 
         @Test
-        void sameEventsGiveTheSameActionsWhateverAnotherInstanceDoes() {
+        void actionsDependOnlyOnEventsAndSeedNotOnOtherInstances() {
             Proxy alone = new Proxy(setup(), 3).with("a", "b", "c");
             Proxy beside = new Proxy(setup(), 3).with("a", "b", "c");
             Proxy other = new Proxy(setup(), 4).with("a", "b", "c");
@@ -180,7 +180,7 @@
         }
 
         @Test
-        void manyCopiesEachTieThemselvesToFewServersOfALargeFleetEvenly() {
+        void manyCopiesUseSmallEvenlyDistributedSubsetsOfALargeFleet() {
             Map<Integer, Set<String>> seen = new HashMap<>();
             Map<String, Integer> users = copiesOf(60, fleet(0, 60), seen);
             assertEquals(60, users.size());
@@ -190,7 +190,7 @@
         }
 
         @Test
-        void aServerThatLeavesMovesFewOthers() {
+        void removalOfAServerChangesFewSubsetMembers() {
             Map<Integer, Set<String>> before = new HashMap<>();
             Map<Integer, Set<String>> after = new HashMap<>();
             copiesOf(30, fleet(0, 60), before);
@@ -209,7 +209,7 @@
     class Failures {
 
         @Test
-        void aServerThatFailedOnceIsTakenOnlyWhenAllOthersAreBusy() {
+        void serverThatFailedOnceIsUsedOnlyWhenAllOthersAreBusy() {
             Proxy p = new Proxy(setup()).with("a", "b", "c");
             for (int i = 0; i < 3; i++) {
                 p.serve();
@@ -224,7 +224,7 @@
         }
 
         @Test
-        void restsAfterFailuresInARowAndReturnsAfterAWhile() {
+        void ejectsAServerAfterConsecutiveFailuresAndUsesItAgainLater() {
             Proxy p = new Proxy(setup()).with("a");
             for (int i = 0; i < 2; i++) {
                 String r = p.request(Proxy.SAFE);
@@ -239,7 +239,7 @@
         }
 
         @Test
-        void restsLongerAtEachFurtherFailure() {
+        void ejectionGetsLongerWithEachFurtherFailure() {
             // Frequent retries would add load to a server that has no free connection.
             Proxy p = new Proxy(setup()).with("a");
             long[] pauses = new long[2];
@@ -259,7 +259,7 @@
         }
 
         @Test
-        void waitsWhileAllRestAndFailsWhenTimeRunsShort() {
+        void callWaitsWithoutServersAndFailsNearItsDeadline() {
             Proxy p = new Proxy(setup()).with();
             String r = p.request(Proxy.UNSAFE);
             p.pass(2_000);
@@ -267,7 +267,7 @@
         }
 
         @Test
-        void sendsAHeldCallWhenAServerAppears() {
+        void sendsAWaitingCallWhenAServerIsAdded() {
             Proxy p = new Proxy(setup()).with();
             String r = p.request(Proxy.SAFE);
             p.change("a", 0, ServerStatus.UP);
@@ -278,7 +278,7 @@
         }
 
         @Test
-        void aServerThatErrsFarMoreThanTheOthersRests() {
+        void ejectsAServerWithAMuchHigherErrorRateThanTheOthers() {
             // A server that answers errors at once is always idle and would attract more and more calls.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             int errors = 0;
@@ -293,7 +293,7 @@
         }
 
         @Test
-        void errorsOfAllServersAlikeRestNone() {
+        void equalErrorRatesOfAllServersEjectNone() {
             // A failing tier below causes errors at every server; ejecting servers would only cost capacity.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
@@ -309,7 +309,7 @@
         }
 
         @Test
-        void aServerThatStaysSilentRests() {
+        void ejectsAServerThatDoesNotAnswerCalls() {
             // A hung server accepts connections and answers probes; only calls past their deadline reveal it.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 8; i++) {
@@ -336,7 +336,7 @@
     class OneAnswer {
 
         @Test
-        void failsWithNoServerKnownBeforeTheDeadline() {
+        void failsBeforeTheDeadlineWhenNoServerIsKnown() {
             Proxy p = new Proxy(setup()).with();
             String r = p.request(Proxy.SAFE);
             p.pass(1_000);
@@ -358,7 +358,7 @@
         }
 
         @Test
-        void owesNothingOnceTheClientHasGone() {
+        void givesNoAnswerAfterTheClientHasDisconnected() {
             Proxy p = new Proxy(setup()).with("a", "b");
             String r = p.request(Proxy.SAFE);
             p.logic.clientGone(p.now, r);
@@ -370,7 +370,7 @@
         }
 
         @Test
-        void passesOverIdsNoLongerHeld() {
+        void ignoresEventsForUnknownOrEndedRequests() {
             Proxy p = new Proxy(setup()).with("a");
             p.serve();
             int before = p.done.size();
@@ -381,7 +381,7 @@
         }
 
         @Test
-        void neverSendsForARequestThatEndedWhileItWaited() {
+        void doesNotSendARequestWhoseClientLeftWhileItWaited() {
             Proxy p = new Proxy(setup()).with();
             String r = p.request(Proxy.SAFE);
             p.logic.clientGone(p.now, r);
@@ -396,7 +396,7 @@
     class Effects {
 
         @Test
-        void anUnsafeCallIsSentAgainOnlyWhenItIsKnownNotToHaveRun() {
+        void unsafeCallIsRetriedOnlyIfItProvablyDidNotRun() {
             for (Outcome outcome : Outcome.values()) {
                 if (outcome == Outcome.OK) {
                     continue;
@@ -413,7 +413,7 @@
         }
 
         @Test
-        void anUnsafeCallThatIsOverdueGetsNoSecondCopy() {
+        void slowUnsafeCallIsNotHedged() {
             Proxy.Setup setup = setup();
             setup.secondCopies = true;
             Proxy p = new Proxy(setup).with("a", "b", "c");
@@ -424,7 +424,7 @@
         }
 
         @Test
-        void aSafeCallThatIsOverdueGetsOneOnlyWhereThatIsAllowed() {
+        void slowSafeCallIsHedgedOnlyIfHedgingIsAllowed() {
             for (boolean allowed : new boolean[] {true, false}) {
                 Proxy.Setup setup = setup();
                 setup.secondCopies = allowed;
@@ -441,7 +441,7 @@
         }
 
         @Test
-        void aKeyedCallStaysInItsZoneAndWindow() {
+        void keyedCallIsRetriedOnlyWithinItsZone() {
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             String r = p.request(Proxy.KEYED_IN_ZONE);
             String first = p.at(r);
@@ -455,7 +455,7 @@
         }
 
         @Test
-        void aKeyedCallIsNotSentAgainAfterItsWindow() {
+        void keyedCallIsNotRetriedAfterItsDedupWindow() {
             Proxy.Setup setup = setup();
             setup.aimUs = 1_000 * MS;
             Proxy p = new Proxy(setup).with("a", "b");
@@ -466,7 +466,7 @@
         }
 
         @Test
-        void aKeyedCallThatWaitedBeyondItsWindowIsNotSentAgain() {
+        void keyedCallThatWaitedBeyondItsDedupWindowIsNotRetried() {
             Proxy.Setup setup = setup();
             setup.aimUs = 950 * MS;
             Proxy p = new Proxy(setup).with("a");
@@ -483,7 +483,7 @@
         }
 
         @Test
-        void retriesAreBudgeted() {
+        void retriesStayWithinTheRetryBudget() {
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 String r = p.request(Proxy.SAFE);
@@ -496,7 +496,7 @@
         }
 
         @Test
-        void attemptsAreLimited() {
+        void attemptsStayWithinMaxAttempts() {
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d", "e", "f");
             String r = p.request(Proxy.SAFE);
             while (p.count("fail " + r) + p.count("refuse " + r) == 0) {
@@ -511,7 +511,7 @@
     class Servers {
 
         @Test
-        void sendsNothingToAServerThatDrainsIsGoneOrIsMissing() {
+        void sendsNothingToDrainingRemovedOrUnlistedServers() {
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             p.change("a", 0, ServerStatus.DRAINING);
             p.change("b", 0, ServerStatus.GONE);
@@ -526,7 +526,7 @@
         }
 
         @Test
-        void asksDiscoveryAgainWithGrowingPauses() {
+        void watchRetriesUseIncreasingBoundedDelays() {
             Proxy.Setup setup = setup();
             setup.watch = true;
             Proxy p = new Proxy(setup).with("a");
@@ -545,7 +545,7 @@
         }
 
         @Test
-        void startsANewWatchAfterAFailureAndDoesNotGoOnWithTheOldOne() {
+        void startsANewWatchAboutASecondAfterAFailure() {
             for (int seed = 0; seed < 50; seed++) {
                 Proxy.Setup setup = setup();
                 setup.watch = true;
@@ -560,7 +560,7 @@
         }
 
         @Test
-        void followsNoListUnaskedWhereItIsPushed() {
+        void startsNoWatchWhenTheListIsPushed() {
             Proxy p = new Proxy(setup()).with("a");
             p.logic.discoveryFailed(p.now);
             assertEquals(0, p.count("watch"));
@@ -572,7 +572,7 @@
     class ColdServers {
 
         @Test
-        void allCopiesTogetherSendAColdServerLessThanItsShare() {
+        void allCopiesTogetherSendAColdServerLessThanAWarmServersShare() {
             int cold = 0;
             int warm = 0;
             for (int copy = 0; copy < 20; copy++) {
@@ -593,7 +593,7 @@
         }
 
         @Test
-        void copiesDoNotPounceOnANewServerAtOnce() {
+        void copiesDoNotAllSendToANewServerAtOnce() {
             int pounced = 0;
             for (int copy = 0; copy < 40; copy++) {
                 Proxy p = new Proxy(setup(), copy).with("a", "b", "c", "d");
@@ -607,7 +607,7 @@
         }
 
         @Test
-        void theWaitOfAColdServerIsReckonedByWhatItCanDoNow() {
+        void delayBeforeAColdServersNextCallFollowsItsPresentCapacity() {
             // A delay computed once at the server's start kept copies with few calls from using it for
             // minutes, long after it was warm.
             for (int seed = 0; seed < 20; seed++) {
@@ -628,7 +628,7 @@
         }
 
         @Test
-        void aRestartUnderTheSameIdIsCold() {
+        void serverRestartedUnderTheSameIdIsCold() {
             Proxy p = new Proxy(setup()).with("a", "b");
             for (int i = 0; i < 10; i++) {
                 p.serve();
@@ -653,7 +653,7 @@
         }
 
         @Test
-        void asksTwoServersAndTakesTheFirstFoundIdle() {
+        void probesTwoServersAndUsesTheFirstFoundIdle() {
             Proxy p = new Proxy(probing()).with("a", "b", "c", "d");
             p.report("d", 3);
             String r = p.request(Proxy.SAFE);
@@ -669,7 +669,7 @@
         }
 
         @Test
-        void aServerThatIsNeverIdleIsNotAskedFirstEachTime() {
+        void serverThatIsNeverIdleIsNotProbedForEachCall() {
             // Hung servers keep their backlog and were never assigned a call, so each call probed them first.
             // The load that they reported was assumed for all other servers, until nothing was sent any more.
             Proxy p = new Proxy(probing()).with("a", "b", "c", "d", "e", "f", "g", "h");
@@ -695,7 +695,7 @@
         }
 
         @Test
-        void asksOneServerAtATimeWhileLoadsAreLight() {
+        void probesOneServerAtATimeUnderLightLoad() {
             // Under light load the first probed server is nearly always idle, so a second probe is
             // wasted cost.
             Proxy p = new Proxy(probing()).with("a", "b", "c", "d");
@@ -727,7 +727,7 @@
         }
 
         @Test
-        void asksAgainOnceProbesThatWereSlowAreQuick() {
+        void resumesProbingOnceSlowProbesAreFastAgain() {
             // A stall of the proxy in its first seconds made probes look slow, and it never probed again.
             Proxy p = served("a", "b", "c", "d");
             for (String s : List.of("a", "b", "c", "d")) {
@@ -760,7 +760,7 @@
         }
 
         @Test
-        void aServerThatOwesAnAnswerToAProbeIsNotTheNextInTurn() {
+        void serverWithAnUnansweredProbeDoesNotGetTheCall() {
             // The least recently assigned server is probed first. When it did not answer, the call went to it
             // all the same, as it was still the least recently assigned one.
             Proxy p = served("a", "b", "c", "d");
@@ -773,7 +773,7 @@
         }
 
         @Test
-        void aServerRestsFromTheSecondUnansweredProbeOn() {
+        void ejectsAServerAfterTwoUnansweredProbes() {
             // An unreachable server that was only demoted still got calls while all other servers were busy.
             Proxy p = served("a", "b", "c", "d");
             int before = p.count("probe a");
@@ -792,7 +792,7 @@
         }
 
         @Test
-        void aProbeThatNeverLeftThisMachineSaysNothingOfItsServer() {
+        void probeThatWasNotSentDoesNotCountAgainstItsServer() {
             // Two probes that failed on the proxy's own machine ejected a server that had received no probe.
             Proxy p = served("a", "b", "c", "d");
             for (int i = 0; i < 2; i++) {
@@ -810,7 +810,7 @@
         }
 
         @Test
-        void amongBusyServersASilentOneComesLater() {
+        void prefersABusyServerToOneWithUnansweredProbes() {
             // A partition of the zone makes more than half of the servers unreachable, so some of them are
             // not ejected; those got every call that found the reachable servers busy.
             Proxy p = served("a", "b", "c");
@@ -829,7 +829,7 @@
         }
 
         @Test
-        void heldCallsKeepTheirOrderAndNoneIsSentThatWouldProbablyBeLate() {
+        void waitingCallsKeepTheirOrderAndLikelyLateOnesAreNotSent() {
             // Under overload each waiting call was sent just before its deadline, so most answers were late.
             Proxy p = new Proxy(setup()).with("a");
             for (int i = 0; i < 12; i++) {
@@ -861,7 +861,7 @@
         }
 
         @Test
-        void takesAServerAllTheSameWhenNoProbeIsAnswered() {
+        void sendsTheCallEvenIfNoProbeIsAnswered() {
             Proxy p = new Proxy(probing()).with("a", "b", "c", "d");
             String r = p.request(Proxy.SAFE);
             p.pass(50);
@@ -869,14 +869,14 @@
         }
 
         @Test
-        void asksNothingWhereProbesAreNotAllowed() {
+        void sendsNoProbesWhereTheyAreNotAllowed() {
             Proxy p = new Proxy(setup()).with("a", "b");
             p.serve();
             assertEquals(0, p.count("probe"));
         }
 
         @Test
-        void sendsNothingThatCouldNotBeAnsweredInTime() {
+        void sendsNoCallsThatCannotBeAnsweredBeforeTheirAim() {
             // The calls that each copy queued kept the whole tier busy with answers later than the aim.
             Proxy p = new Proxy(setup()).with("a", "b");
             for (int i = 0; i < 10; i++) {
@@ -892,7 +892,7 @@
         }
 
         @Test
-        void whereCallsAskForLoadsThoseBeyondTheShareStillGoToIdleServers() {
+        void withProbesCallsBeyondTheQuotaStillGoToIdleServers() {
             // A copy that gets a tenant's calls unevenly, about one per second, refused calls within the
             // quota.
             Proxy.Setup setup = probing();
@@ -910,7 +910,7 @@
         }
 
         @Test
-        void callsThatAJamKeepsFromBeginningUseUpNoShare() {
+        void callsRejectedForCongestionDoNotUseUpTheQuota() {
             // Retries of clients during congestion used up their tenant's quota and delayed the recovery.
             Proxy.Setup setup = setup();
             setup.quota = 3;
@@ -942,7 +942,7 @@
         }
 
         @Test
-        void requestsBeyondTheirTenantsShareAreNotBegun() {
+        void requestsBeyondTheirTenantsQuotaAreRefused() {
             // Requests beyond the quota have little worth, and they displaced requests within the quota.
             Proxy.Setup setup = setup();
             setup.quota = 30;
@@ -966,7 +966,7 @@
         }
 
         @Test
-        void inAJamFewCallsAreBegunAndAllAgainOnceTheyAreServed() {
+        void congestionLimitsCallsUntilCallsAreServedAgain() {
             // Servers worked on calls whose callers had gone, and each further call kept the congestion up.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
@@ -992,7 +992,7 @@
         }
 
         @Test
-        void clientsThatLeaveEarlyMakeNoJam() {
+        void clientsThatDisconnectEarlyDoNotCountAsCongestion() {
             // Clients that disconnect early were counted as calls that the servers had served too slowly.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
@@ -1008,7 +1008,7 @@
         }
 
         @Test
-        void clientsThatLeaveOnceTheirAimHasPassedStillCountAsNotServed() {
+        void clientsThatDisconnectAfterTheirAimCountAsNotServed() {
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 25; i++) {
                 List<String> late =
@@ -1020,7 +1020,7 @@
         }
 
         @Test
-        void aBurstOfFailuresIsForgottenWhileNoCallIsBegun() {
+        void failureCountDecaysWhileNoCallIsSent() {
             // The failure count decayed only when a call was sent, so a copy with few calls refused them for
             // seconds.
             Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
@@ -1042,7 +1042,7 @@
         }
 
         @Test
-        void longCallsDoNotMakeTheServersThatGetThemLookSlow() {
+        void longCallsDoNotRaiseTheEstimatedSlownessOfTheirServer() {
             // Slow servers got only long calls, so they were estimated as slower still and were half idle.
             Proxy p = new Proxy(setup()).with("a", "b");
             String held = p.request(Proxy.SAFE);
@@ -1074,7 +1074,7 @@
         }
 
         @Test
-        void aMarkedLastTryWhoseAimHasPassedIsNotSent() {
+        void clientRetryWhoseAimHasPassedSinceTheFirstTryIsNotSent() {
             // The last try of a client carries its remaining time, which shows when the first try arrived.
             // Under overload, calls whose aim had passed since the first try were sent all the same.
             Proxy p = new Proxy(setup()).with("a", "b");
@@ -1095,7 +1095,7 @@
         }
 
         @Test
-        void slowSpellsDoNotMakeEveryLaterCallLookHopeless() {
+        void slowPeriodDoesNotMakeLaterCallsLookUnservable() {
             Proxy p = new Proxy(setup()).with("a", "b");
             for (int i = 0; i < 40; i++) {
                 String r = p.request(Proxy.SAFE);
@@ -1118,7 +1118,7 @@
     }
 
     @Test
-    void settingsThatMakeNoSenseAreRefusedByName() {
+    void invalidSettingsAreRejectedWithTheirName() {
         Proxy.Setup setup = setup();
         setup.maxAttempts = 0;
         var e = assertThrows(IllegalArgumentException.class, () -> new Proxy(setup));
@@ -1138,7 +1138,7 @@
         private final Proxy p = new Proxy(setup()).with("a", "b", "c");
 
         @Test
-        void nothingGoesToAServerLeftOutWhateverTheListSays() {
+        void serverInMaintenanceGetsNoCallsWhateverTheListSays() {
             p.logic.maintenance(p.now, "a", true);
             p.logic.maintenance(p.now, "a", true);
             p.change("a", p.now, ServerStatus.UP);
@@ -1153,7 +1153,7 @@
         }
 
         @Test
-        void oneCallBackUndoesTwoCallsOutAndTheServerIsSoonUsed() {
+        void endingMaintenanceOnceUndoesTwoStartsAndTheServerIsSoonUsed() {
             p.logic.maintenance(p.now, "a", true);
             p.logic.maintenance(p.now, "a", true);
             p.pass(3_000);
@@ -1162,7 +1162,7 @@
         }
 
         @Test
-        void aServerBroughtBackIsColdThoughTheListDoesNotSaySo() {
+        void serverIsColdAfterMaintenanceEvenIfTheListDoesNotReportARestart() {
             Proxy busy = new Proxy(setup()).with("a", "b", "c", "d");
             for (int i = 0; i < 200; i++) {
                 busy.serve();
@@ -1180,7 +1180,7 @@
         }
 
         @Test
-        void callsThatWaitAndRetriesPassItBy() {
+        void retriesAvoidAServerInMaintenance() {
             String first = p.request(Proxy.SAFE);
             String server = p.at(first);
             p.logic.maintenance(p.now, server, true);
@@ -1189,7 +1189,7 @@
         }
 
         @Test
-        void anIdThatIsNotListedYetIsLeftOutOnceItIs() {
+        void maintenanceAppliesToAServerThatIsListedLater() {
             p.logic.maintenance(p.now, "d", true);
             p.change("d", 0, ServerStatus.UP);
             p.pass(5_000);
@@ -1205,7 +1205,7 @@
         }
 
         @Test
-        void aServerGoneFromTheListWhileOutIsNotUsedAfterTheCallBack() {
+        void serverRemovedFromTheListDuringMaintenanceIsNotUsedAfterwards() {
             p.logic.maintenance(p.now, "a", true);
             p.logic.serversChanged(p.now, ListKind.WHOLE,
                     List.of(new Server("b", 0, 0, 0, 1, ServerStatus.UP)));
@@ -1230,7 +1230,7 @@
     class Beginning {
 
         @Test
-        void oneSlowCallDoesNotMakeAllLaterOnesHopeless() {
+        void oneSlowFirstCallDoesNotMakeLaterCallsLookUnservable() {
             Proxy p = new Proxy(setup()).with("a", "b", "c");
             String first = p.request(Proxy.SAFE);
             p.pass(410);
@@ -1267,7 +1267,7 @@
         }
 
         @Test
-        void aServerIsIdleWhileABodyIsStillOnItsWayToIt() {
+        void serverCountsAsIdleWhileItsRequestBodyIsBeingUploaded() {
             learn();
             String server = upload();
             Set<String> taken = twoMore();
@@ -1277,7 +1277,7 @@
         }
 
         @Test
-        void aBodyThatComesSlowlySpeaksNotAgainstItsServer() {
+        void slowUploadDoesNotCountAgainstItsServer() {
             learn();
             String server = upload();
             p.pass(20_000);
@@ -1290,7 +1290,7 @@
         }
 
         @Test
-        void onceTheBodyHasComeTheServerIsOverdueAsEver() {
+        void serverIsBusyAndTimeoutsApplyAfterTheUpload() {
             learn();
             String server = upload();
             p.pass(20_000);
@@ -1303,7 +1303,7 @@
         }
 
         @Test
-        void aBodyOfWhichPartIsGoneIsNotSentAgain() {
+        void requestWithAPartlyDiscardedBodyIsNotRetried() {
             upload();
             p.logic.bodySpent(p.now, "up");
             p.end("up", Outcome.CONNECT_FAILED);
@@ -1312,14 +1312,14 @@
         }
 
         @Test
-        void aBodyThatIsStillHeldGoesToTheOtherServer() {
+        void requestWithAFullyBufferedBodyIsRetriedOnTheOtherServer() {
             upload();
             p.end("up", Outcome.CONNECT_FAILED);
             assertEquals(2, p.attempts.get("up"));
         }
 
         @Test
-        void anAnswerThatHasBegunFreesItsServerAndIsNeverOverdue() {
+        void serverOfAStreamedAnswerCountsAsIdleAndTheAnswerNeverTimesOut() {
             learn();
             String request = p.request(Proxy.SAFE);
             String server = p.at(request);
--- a/src/test/java/larkworks/ModuleShapeTest.java
+++ b/src/test/java/larkworks/ModuleShapeTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void theDeployFileNamesAllFilesThatDecide() throws IOException {
+    void deployFileListsAllSourceFilesOfTheDecisionModule() throws IOException {
         try (Stream<Path> files = Files.list(FOLDER)) {
             Set<Path> deciding = files.filter(Files::isRegularFile)
                     .filter(file -> !SHARED.contains(file.getFileName().toString()))
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void noFileOfTheModuleIsTooLongToRead() throws IOException {
+    void noSourceFileExceedsTheMaximumLength() throws IOException {
         for (Path file : named()) {
             long lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
             assertTrue(lines > 0 && lines <= MOST_LINES, file + " has " + lines + " non-blank lines");
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void theModuleHasNoInputOutputNorClock() throws IOException {
+    void decisionModuleUsesNoInputOutputAndNoClock() throws IOException {
         for (Path file : named()) {
             Matcher found = OUTSIDE.matcher(Files.readString(file));
             assertFalse(found.find(), () -> file + " uses " + found.group());
--- a/src/test/java/larkworks/RulesTest.java
+++ b/src/test/java/larkworks/RulesTest.java
@@ -37,7 +37,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 5, 12, 40})
-    void theRulesHold(int fleet) {
+    void rulesHoldUnderRandomEvents(int fleet) {
         int sends = 0;
         for (int seed = 0; seed < 40; seed++) {
             Run run = new Run(fleet, 1_000L * fleet + seed);
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aRestByOthersHoldsUntilItsTimeAndTheirDemotionComesLast() {
+    void peerEjectionHoldsUntilItExpiresAndPeerDemotedServerIsUsedLast() {
         Proxy p = proxy("a", "b");
         p.logic.peerVerdict(p.now, "a", Verdict.RESTS, p.now + 500 * MS);
         assertEquals("b", p.serve());
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aRestByOthersOnlyDemotesAServerThatAnsweredJustNow() {
+    void peerEjectionOnlyDemotesAServerThatAnsweredRecently() {
         Proxy p = proxy("a", "b");
         String first = p.serve();
         String second = p.serve();
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void tellsWhatFailedToConnectAndThatItIsWellAgain() {
+    void publishesDemotionAfterConnectFailureAndWithdrawsItAfterRecovery() {
         Proxy p = proxy("a", "b", "c");
         String request = p.request(Proxy.SAFE);
         String server = p.at(request);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aServerWhoseBudgetIsSpentGetsNothingUntilMoreIsSaid() {
+    void serverWithExhaustedBudgetGetsNoCallsUntilTheBudgetIsRenewedOrRemoved() {
         Proxy p = proxy("a", "b");
         p.logic.serverBudget(p.now, "a", 1, p.now + 1_000 * MS);
         Set<String> taken = Set.of(p.serve(), p.serve());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void requestsBeyondTheirClassesBudgetAreRefusedAtOnce() {
+    void requestsBeyondTheBudgetOfTheirClassAreRefusedAtOnce() {
         Proxy p = proxy("a", "b");
         p.logic.classBudget(p.now, Proxy.SAFE, 1, p.now + 1_000 * MS);
         p.serve();
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aClassGoesToItsServersWhileOneOfThemIsIdleHere() {
+    void classUsesItsAffineServersWhileOneOfThemIsIdle() {
         Proxy p = proxy("a", "b", "c", "d");
         p.logic.affinity(p.now, Proxy.SAFE, List.of("c"));
         assertEquals("c", p.serve());
