--- a/src/test/java/larkworks/Program.java
+++ b/src/test/java/larkworks/Program.java
@@ -24,41 +24,42 @@
     /**
      * Starts {@code larkworks ARGS}.
      *
-     * @param shell a shell command to run before it, such as {@code ulimit -f 8}; "" for none
+     * @param shellCommand a shell command to run before it, such as {@code ulimit -f 8}; "" for none
      * @param environment variables that are added to those of the tests
      */
-    public Program(String shell, Map<String, String> environment, String... args) throws IOException {
-        List<String> command = new ArrayList<>(List.of("bash", "-c", (shell.isEmpty() ? "" : shell + "; ")
+    public Program(String shellCommand, Map<String, String> environment, String... args) throws IOException {
+        List<String> command = new ArrayList<>(List.of("bash", "-c",
+                (shellCommand.isEmpty() ? "" : shellCommand + "; ")
                 + "exec \"$0\" \"$@\"", "java", "-XX:+UseSerialGC", "-XX:-UsePerfData", "-Xmx128m", "-cp",
                 System.getProperty("java.class.path"), "larkworks.cli.Larkworks"));
         command.addAll(List.of(args));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         builder.environment().putAll(environment);
         process = builder.start();
-        Thread reader = new Thread(this::read, "lines");
+        Thread reader = new Thread(this::collectLines, "lines");
         reader.setDaemon(true);
         reader.start();
     }
 
-    private void read() {
-        try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(),
+    private void collectLines() {
+        try (BufferedReader reader = new BufferedReader(new InputStreamReader(process.getInputStream(),
                 StandardCharsets.UTF_8))) {
-            in.lines().forEach(lines::add);
+            reader.lines().forEach(lines::add);
         } catch (IOException | java.io.UncheckedIOException e) {
             lines.add("(output closed: " + e + ")");
         }
     }
 
     /** Waits up to 30 s for a log line with this message and returns the fields of the first one. */
-    public Map<String, Object> logged(String message) throws InterruptedException {
-        Map<String, Object> found = new java.util.HashMap<>();
+    public Map<String, Object> awaitLogLine(String message) throws InterruptedException {
+        Map<String, Object> foundFields = new java.util.HashMap<>();
         await(30, () -> lines.toString(), () -> {
             for (String line : lines) {
                 try {
                     Map<String, Object> fields = line.startsWith("{")
                             ? Json.object(line.getBytes(StandardCharsets.UTF_8)) : Map.of();
                     if (message.equals(fields.get("message"))) {
-                        found.putAll(fields);
+                        foundFields.putAll(fields);
                         return true;
                     }
                 } catch (IOException e) {
@@ -67,7 +68,7 @@
             }
             return false;
         });
-        return found;
+        return foundFields;
     }
 
     /** Kills the process with SIGKILL and waits for its end. */
@@ -76,18 +77,20 @@
     }
 
     /** Sends the process a signal. */
-    public void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor();
+    public void signal(String signalName) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + signalName, String.valueOf(process.pid())).start().waitFor();
     }
 
     /**
-     * Waits until a condition holds, checked every 20 ms; fails with the text {@code told} after a timeout.
+     * Waits until a condition holds, checked every 20 ms; fails with the text {@code failureMessage} after a
+     * timeout.
      */
-    public static void await(int seconds, java.util.function.Supplier<String> told, BooleanSupplier condition)
+    public static void await(int seconds, java.util.function.Supplier<String> failureMessage,
+            BooleanSupplier condition)
             throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, told);
+            assertTrue(System.nanoTime() < deadlineNs, failureMessage);
             Thread.sleep(20);
         }
     }
--- a/src/test/java/larkworks/SocketOwner.java
+++ b/src/test/java/larkworks/SocketOwner.java
@@ -12,25 +12,25 @@
 public final class SocketOwner {
 
     /** Columns of the tables {@code /proc/net/tcp} and {@code /proc/net/tcp6}. */
-    private static final int LOCAL = 1;
-    private static final int REMOTE = 2;
-    private static final int INODE = 9;
+    private static final int LOCAL_ADDRESS_COLUMN = 1;
+    private static final int REMOTE_ADDRESS_COLUMN = 2;
+    private static final int INODE_COLUMN = 9;
 
     private SocketOwner() { }
 
     /**
      * Returns whether a process owns the remote end of a socket; false if the process or that end is gone.
      */
-    public static boolean holds(Process process, Socket near) {
+    public static boolean ownsRemoteEnd(Process process, Socket socket) {
         try {
-            String inode = inode(near.getPort(), near.getLocalPort());
+            String inode = findInode(socket.getPort(), socket.getLocalPort());
             if (inode.isEmpty() || !process.isAlive()) {
                 return false;
             }
-            try (DirectoryStream<Path> files = Files.newDirectoryStream(
+            try (DirectoryStream<Path> descriptors = Files.newDirectoryStream(
                     Path.of("/proc/" + process.pid() + "/fd"))) {
-                for (Path file : files) {
-                    if (target(file).equals("socket:[" + inode + "]")) {
+                for (Path descriptor : descriptors) {
+                    if (linkTarget(descriptor).equals("socket:[" + inode + "]")) {
                         return true;
                     }
                 }
@@ -41,7 +41,7 @@
         }
     }
 
-    private static String target(Path link) {
+    private static String linkTarget(Path link) {
         try {
             return Files.readSymbolicLink(link).toString();
         } catch (IOException e) {
@@ -50,19 +50,20 @@
     }
 
     /** Returns the inode of the socket with these ports, or "" if there is none. */
-    private static String inode(int localPort, int remotePort) throws IOException {
-        for (String table : List.of("/proc/net/tcp6", "/proc/net/tcp")) {
-            for (String line : Files.readAllLines(Path.of(table))) {
+    private static String findInode(int localPort, int remotePort) throws IOException {
+        for (String tableFile : List.of("/proc/net/tcp6", "/proc/net/tcp")) {
+            for (String line : Files.readAllLines(Path.of(tableFile))) {
                 String[] fields = line.strip().split("\\s+");
-                if (port(fields[LOCAL]) == localPort && port(fields[REMOTE]) == remotePort) {
-                    return fields[INODE];
+                if (parsePort(fields[LOCAL_ADDRESS_COLUMN]) == localPort
+                        && parsePort(fields[REMOTE_ADDRESS_COLUMN]) == remotePort) {
+                    return fields[INODE_COLUMN];
                 }
             }
         }
         return "";
     }
 
-    private static int port(String address) {
+    private static int parsePort(String address) {
         int colon = address.indexOf(':');
         return colon < 0 ? -1 : Integer.parseInt(address.substring(colon + 1), 16);
     }
--- a/src/test/java/larkworks/SyscallFaults.java
+++ b/src/test/java/larkworks/SyscallFaults.java
@@ -15,7 +15,7 @@
 
     private static final Path SOURCE = Path.of("src/test/c/syscall_faults.c");
     private static final Path LIBRARY = Path.of("target/native/libsyscall_faults.so").toAbsolutePath();
-    private static boolean built;
+    private static boolean isBuilt;
 
     private SyscallFaults() { }
 
@@ -26,7 +26,7 @@
      */
     public static Map<String, String> environment(String rules, long seed) {
         Map<String, String> environment = new HashMap<>();
-        environment.put("LD_PRELOAD", library().toString());
+        environment.put("LD_PRELOAD", compiledLibrary().toString());
         environment.put("FAULTS", rules);
         environment.put("FAULT_SEED", Long.toString(seed));
         return environment;
@@ -37,35 +37,36 @@
      * these rules.
      *
      * @param folder rules for files apply only to files below this folder
-     * @param counts file to which a byte is written for each call on a file below the folder
+     * @param countFile file to which a byte is written for each call on a file below the folder
      */
-    public static Map<String, String> environment(String rules, long seed, Path folder, Path counts) {
+    public static Map<String, String> environment(String rules, long seed, Path folder, Path countFile) {
         Map<String, String> environment = environment(rules, seed);
         environment.put("FAULT_FOLDER", folder.toAbsolutePath().toString());
-        environment.put("FAULT_COUNT", counts.toAbsolutePath().toString());
+        environment.put("FAULT_COUNT", countFile.toAbsolutePath().toString());
         return environment;
     }
 
-    private static synchronized Path library() {
-        if (!built) {
-            build();
-            built = true;
+    private static synchronized Path compiledLibrary() {
+        if (!isBuilt) {
+            compile();
+            isBuilt = true;
         }
         return LIBRARY;
     }
 
-    private static void build() {
+    private static void compile() {
         try {
             Files.createDirectories(LIBRARY.getParent());
-            Path fresh = Files.createTempFile(LIBRARY.getParent(), "faults", ".so");
+            Path newLibrary = Files.createTempFile(LIBRARY.getParent(), "faults", ".so");
             Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-Wall", "-Wextra",
-                    "-Werror", "-o", fresh.toString(), SOURCE.toString(), "-ldl")
+                    "-Werror", "-o", newLibrary.toString(), SOURCE.toString(), "-ldl")
                     .redirectErrorStream(true).start();
-            String said = new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            String compilerOutput =
+                    new String(compiler.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             if (compiler.waitFor() != 0) {
-                throw new AssertionError(SOURCE + " cannot be compiled: " + said);
+                throw new AssertionError(SOURCE + " cannot be compiled: " + compilerOutput);
             }
-            Files.move(fresh, LIBRARY, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+            Files.move(newLibrary, LIBRARY, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             throw new AssertionError("a C compiler named cc is needed: " + e.getMessage(), e);
         } catch (InterruptedException e) {
--- a/src/test/java/larkworks/TcpRelay.java
+++ b/src/test/java/larkworks/TcpRelay.java
@@ -22,18 +22,18 @@
     /** The client and target sockets of all connections. */
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     /** Sockets that stay open but whose bytes are discarded. */
-    private final Set<Socket> silent = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> blackholed = ConcurrentHashMap.newKeySet();
     /** The client sockets. */
-    private final Set<Socket> nears = ConcurrentHashMap.newKeySet();
-    private volatile Predicate<Socket> cut = near -> false;
+    private final Set<Socket> clientSockets = ConcurrentHashMap.newKeySet();
+    private volatile Predicate<Socket> isPartitioned = clientSocket -> false;
     private volatile InetSocketAddress target;
     private volatile boolean refusing;
-    /** Number of connections closed at once because the relay refused connections. */
-    public final AtomicInteger refused = new AtomicInteger();
+    /** Number of connections closed at once because the relay was refusing connections. */
+    public final AtomicInteger refusedConnections = new AtomicInteger();
 
     public TcpRelay(InetSocketAddress target) throws IOException {
         this.target = target;
-        run(this::accept);
+        startThread(this::acceptConnections);
     }
 
     /** Returns host and port of the relay. */
@@ -42,14 +42,14 @@
     }
 
     /** Sets the target of new connections. */
-    public void target(InetSocketAddress other) {
-        target = other;
+    public void setTarget(InetSocketAddress newTarget) {
+        target = newTarget;
     }
 
     /** Closes all connections and refuses new ones; {@code false} accepts new connections again. */
-    public void refuse(boolean now) throws IOException {
-        refusing = now;
-        if (now) {
+    public void setRefusing(boolean refuse) throws IOException {
+        refusing = refuse;
+        if (refuse) {
             for (Socket socket : sockets) {
                 socket.close();
             }
@@ -57,8 +57,8 @@
     }
 
     /** Keeps the present connections open but discards their bytes; new connections are forwarded. */
-    public void silence() {
-        silent.addAll(sockets);
+    public void blackholeOpenConnections() {
+        blackholed.addAll(sockets);
     }
 
     /**
@@ -66,27 +66,27 @@
      * bytes are discarded. Connections that were partitioned before and are not selected now are closed, as
      * they would be some time after the network has recovered.
      *
-     * @param who whether the client at the other end of a client socket is partitioned
+     * @param selected whether the client at the other end of a client socket is partitioned
      */
-    public void cut(Predicate<Socket> who) throws IOException {
-        cut = who;
-        for (Socket near : nears) {
-            if (who.test(near)) {
-                silent.add(near);
-            } else if (silent.contains(near)) {
-                near.close();
+    public void partition(Predicate<Socket> selected) throws IOException {
+        isPartitioned = selected;
+        for (Socket clientSocket : clientSockets) {
+            if (selected.test(clientSocket)) {
+                blackholed.add(clientSocket);
+            } else if (blackholed.contains(clientSocket)) {
+                clientSocket.close();
             }
         }
     }
 
-    private interface Job {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void run(Job job) {
+    private static void startThread(IoTask task) {
         Thread thread = new Thread(() -> {
             try {
-                job.run();
+                task.run();
             } catch (IOException e) {
                 // A client or the target has closed the connection, or the test has ended.
             }
@@ -95,47 +95,47 @@
         thread.start();
     }
 
-    private void accept() throws IOException {
+    private void acceptConnections() throws IOException {
         while (true) {
-            Socket near = listener.accept();
+            Socket clientSocket = listener.accept();
             if (refusing) {
-                refused.incrementAndGet();
-                near.close();
+                refusedConnections.incrementAndGet();
+                clientSocket.close();
                 continue;
             }
-            Socket far = new Socket();
-            sockets.add(near);
-            sockets.add(far);
-            nears.add(near);
-            if (cut.test(near)) {
-                silent.add(near);
+            Socket targetSocket = new Socket();
+            sockets.add(clientSocket);
+            sockets.add(targetSocket);
+            clientSockets.add(clientSocket);
+            if (isPartitioned.test(clientSocket)) {
+                blackholed.add(clientSocket);
             }
-            run(() -> {
-                try (near; far) {
-                    far.connect(target, 2_000);
-                    run(() -> pass(far, near, near));
-                    pass(near, far, near);
+            startThread(() -> {
+                try (clientSocket; targetSocket) {
+                    targetSocket.connect(target, 2_000);
+                    startThread(() -> forward(targetSocket, clientSocket, clientSocket));
+                    forward(clientSocket, targetSocket, clientSocket);
                 } finally {
-                    sockets.remove(near);
-                    sockets.remove(far);
-                    nears.remove(near);
-                    silent.remove(near);
+                    sockets.remove(clientSocket);
+                    sockets.remove(targetSocket);
+                    clientSockets.remove(clientSocket);
+                    blackholed.remove(clientSocket);
                 }
             });
         }
     }
 
-    private void pass(Socket from, Socket to, Socket near) throws IOException {
+    private void forward(Socket from, Socket to, Socket clientSocket) throws IOException {
         byte[] buffer = new byte[8_192];
         InputStream in = from.getInputStream();
         OutputStream out = to.getOutputStream();
-        for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
-            if (!silent.contains(from) && !silent.contains(near)) {
-                out.write(buffer, 0, read);
+        for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+            if (!blackholed.contains(from) && !blackholed.contains(clientSocket)) {
+                out.write(buffer, 0, count);
                 out.flush();
             }
         }
-        if (!silent.contains(from) && !silent.contains(near)) {
+        if (!blackholed.contains(from) && !blackholed.contains(clientSocket)) {
             to.close();
         }
     }
--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -45,11 +45,11 @@
         bench.at(Bench.freePort());
         Path config = Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), known)
                 .replace('"' + bench.discovery.address() + '"', discovery));
-        relay.refuse(true);
+        relay.setRefusing(true);
         proxy = new Program("", Map.of("GW_CONFIG", config.toString()), "proxy");
-        Program.await(20, proxy.lines::toString, () -> relay.refused.get() > 2);
+        Program.await(20, proxy.lines::toString, () -> relay.refusedConnections.get() > 2);
         assertEquals(1, bench.served(), "from what is known, as the service is down at the start");
-        relay.refuse(false);
+        relay.setRefusing(false);
         awaitServedBy(0);
     }
 
@@ -64,11 +64,11 @@
     private void service(String data) throws Exception {
         service = new Program("", Map.of(), "registry", "--listen", "127.0.0.1:0", "--data",
                 folder.resolve(data).toString());
-        caller = new Caller((String) service.logged("serving").get("address"));
+        caller = new Caller((String) service.awaitLogLine("serving").get("address"));
     }
 
     private InetSocketAddress address() throws Exception {
-        return Addresses.parse(service.logged("serving").get("address"));
+        return Addresses.parse(service.awaitLogLine("serving").get("address"));
     }
 
     private void register(int backend) throws Exception {
@@ -90,25 +90,25 @@
     @Test
     void servesFromTheLastListThroughAnOutageAndConvergesAfterIt() throws Exception {
         start("[\"127.0.0.1:1\",\"" + relay.address() + "\"]");  // nobody listens at the first
-        relay.refuse(true);
+        relay.setRefusing(true);
         service.kill();
-        int before = relay.refused.get();
+        int before = relay.refusedConnections.get();
         // Several attempts with growing pauses: the outage lasts well past the longest.
-        Program.await(30, proxy.lines::toString, () -> relay.refused.get() >= before + 7);
+        Program.await(30, proxy.lines::toString, () -> relay.refusedConnections.get() >= before + 7);
         assertEquals(0, bench.served());
         service("data");
-        relay.target(address());
+        relay.setTarget(address());
         caller.status("b0", "terminating");
         register(1);
         assertEquals(0, bench.served(), "not told yet");
-        relay.refuse(false);
+        relay.setRefusing(false);
         awaitServedBy(1);
     }
 
     @Test
     void noticesAConnectionGoneSilent() throws Exception {
         start('"' + relay.address() + '"');
-        relay.silence();
+        relay.blackholeOpenConnections();
         register(1);
         caller.status("b0", "terminating");
         awaitServedBy(1);
@@ -117,14 +117,14 @@
     @Test
     void takesNoChangesOfAnotherList() throws Exception {
         start('"' + relay.address() + '"');
-        relay.refuse(true);
+        relay.setRefusing(true);
         service.kill();
         service("other");  // the data is lost: its index passes the old one, and b0 was never in it
         caller.register("x", "127.0.0.1:2", "");
         caller.status("x", "terminated");
         register(1);
-        relay.target(address());
-        relay.refuse(false);
+        relay.setTarget(address());
+        relay.setRefusing(false);
         awaitServedBy(1);
         for (int i = 0; i < 10; i++) {
             assertEquals(1, bench.served(), "b0 stands in no list of this service");
--- a/src/test/java/larkworks/proxy/ProxyFleet.java
+++ b/src/test/java/larkworks/proxy/ProxyFleet.java
@@ -95,7 +95,7 @@
     void startService() throws Exception {
         service = new Program("", Map.of(), "registry", "--listen", discovery, "--data",
                 folder.resolve("registry").toString());
-        service.logged("serving");
+        service.awaitLogLine("serving");
     }
 
     /** Starts proxy i, anew where it ran before. */
--- a/src/test/java/larkworks/registry/DiskFaultsTest.java
+++ b/src/test/java/larkworks/registry/DiskFaultsTest.java
@@ -41,7 +41,7 @@
     }
 
     private static Caller caller(Program service) throws InterruptedException {
-        return new Caller((String) service.logged("serving").get("address"));
+        return new Caller((String) service.awaitLogLine("serving").get("address"));
     }
 
     /** What callers were told of their writes. */
--- a/src/test/java/larkworks/registry/RegistryExperiment.java
+++ b/src/test/java/larkworks/registry/RegistryExperiment.java
@@ -40,7 +40,7 @@
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("registry");
         try (Program service = start(folder.resolve("watches"), 4 << 20)) {
-            String address = (String) service.logged("serving").get("address");
+            String address = (String) service.awaitLogLine("serving").get("address");
             Caller caller = new Caller(address);
             caller.register("b", "10.0.0.1:1", "");
             for (int watches : List.of(10, 100, 1_000)) {
@@ -64,7 +64,7 @@
             try (Program service = start(data, 1L << 40)) {
                 System.out.printf("log of %d changes, %d KB: start %s ms%n", changes,
                         Files.size(data.resolve("wal-00000000000000000001.log")) >> 10,
-                        service.logged("serving").get("start_ms"));
+                        service.awaitLogLine("serving").get("start_ms"));
             }
         }
     }
--- a/src/test/java/larkworks/registry/RegistryProcessTest.java
+++ b/src/test/java/larkworks/registry/RegistryProcessTest.java
@@ -38,7 +38,7 @@
     }
 
     private static Caller caller(Program service) throws InterruptedException {
-        return new Caller((String) service.logged("serving").get("address"));
+        return new Caller((String) service.awaitLogLine("serving").get("address"));
     }
 
     /** Has many callers register at once until {@code enough} are acknowledged; then kills the service. */
@@ -143,7 +143,7 @@
         try (Program service = service("")) {
             Caller caller = caller(service);
             caller.register("steady", "10.0.0.1:1", "");
-            String address = (String) service.logged("serving").get("address");
+            String address = (String) service.awaitLogLine("serving").get("address");
             int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
             for (int i = 0; i < 1_000; i++) {
                 Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
--- a/src/test/java/larkworks/registry/ReplicaExperiment.java
+++ b/src/test/java/larkworks/registry/ReplicaExperiment.java
@@ -32,7 +32,7 @@
         Path folder = Files.createTempDirectory("replicas");
         try (Program alone = new Program("", Map.of(), "registry", "--listen", "127.0.0.1:0", "--data",
                 folder.resolve("alone").toString())) {
-            Caller caller = new Caller((String) alone.logged("serving").get("address"));
+            Caller caller = new Caller((String) alone.awaitLogLine("serving").get("address"));
             writes("one process", caller);
         }
         for (int count : List.of(1, 3)) {
--- a/src/test/java/larkworks/registry/ReplicaProcessTest.java
+++ b/src/test/java/larkworks/registry/ReplicaProcessTest.java
@@ -45,7 +45,7 @@
                     + " after " + applied, () -> replicas.others(leader).stream()
                     .allMatch(id -> replicas.logStart(id) > applied + KILLED_LATER));
             replicas.start(leader, "");
-            replicas.program(leader).logged("snapshot of the leader taken up");
+            replicas.program(leader).awaitLogLine("snapshot of the leader taken up");
             history.awaitMore(60);
             history.end();
             Caller.Answer list = replicas.awaitSame(replicas.ids());
@@ -74,7 +74,7 @@
             replicas.limitFiles(full, 1_000);
             WriteHistory history = new WriteHistory(replicas, 3);
             String next = replicas.awaitLeader(replicas.others(full));
-            replicas.program(full).logged("the log can't be written: no part is taken any more");
+            replicas.program(full).awaitLogLine("the log can't be written: no part is taken any more");
             history.awaitMore(100);
             Caller.Answer refused = replicas.caller(full).register("n", "10.9.9.9:1", "");
             assertEquals(503, refused.status());
@@ -108,7 +108,7 @@
                 segment.writePart(List.of(1, length / 2, length - 2).get(round / 2), round % 2 == 0);
                 register(replicas.caller(replicas.others(torn).get(0)), 10 + round);
                 replicas.start(torn, "");
-                replicas.program(torn).logged("torn entry cut from the end of the log");
+                replicas.program(torn).awaitLogLine("torn entry cut from the end of the log");
                 Caller.Answer after = replicas.awaitSame(replicas.ids());
                 assertTrue(after.endpoints().containsAll(List.of("n" + round + " in_service",
                         "n" + (10 + round) + " in_service")), () -> after.endpoints().toString());
@@ -152,12 +152,13 @@
             assertEquals(200, caller.register("beating", "10.0.0.1:2", ",\"ttl_ms\":1500").status());
             replicas.kill(leader);
             String next = replicas.awaitLeader(replicas.others(leader));
-            long ledMs = ((Number) replicas.program(next).logged("leads").get("ts")).longValue();
+            long ledMs = ((Number) replicas.program(next).awaitLogLine("leads").get("ts")).longValue();
             Program.await(30, () -> replicas.status(follower).toString(), () -> {
                 beat(caller);
                 return endpoints(caller).contains("silent terminating");
             });
-            long endedMs = ((Number) replicas.program(next).logged("leases ended").get("ts")).longValue();
+            long endedMs =
+                    ((Number) replicas.program(next).awaitLogLine("leases ended").get("ts")).longValue();
             assertTrue(endedMs - ledMs >= 1_500, "ended " + (endedMs - ledMs) + " ms after the election");
             assertTrue(endpoints(caller).contains("beating in_service"));
             assertEquals(200, caller.call("PUT", "/registry/v1/instances/silent/heartbeat", "").status());
--- a/src/test/java/larkworks/registry/Replicas.java
+++ b/src/test/java/larkworks/registry/Replicas.java
@@ -139,7 +139,7 @@
     }
 
     private void await(String id) throws InterruptedException {
-        callers.put(id, new Caller((String) programs.get(id).logged("serving").get("address")));
+        callers.put(id, new Caller((String) programs.get(id).awaitLogLine("serving").get("address")));
     }
 
     /** The index of the first entry that its log still has. */
@@ -166,15 +166,15 @@
     /** From now on nothing passes between one replica and the others, in either direction. */
     void cut(String alone) throws IOException {
         for (String id : ids()) {
-            relays.get(id).cut(near -> ids().stream().anyMatch(other ->
+            relays.get(id).partition(near -> ids().stream().anyMatch(other ->
                     id.equals(alone) != other.equals(alone)
-                            && SocketOwner.holds(programs.get(other).process, near)));
+                            && SocketOwner.ownsRemoteEnd(programs.get(other).process, near)));
         }
     }
 
     void heal() throws IOException {
         for (TcpRelay relay : relays.values()) {
-            relay.cut(near -> false);
+            relay.partition(near -> false);
         }
     }
 
