--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -19,25 +19,26 @@
     private static final int MOST_LOOKS = 12;
 
     /** Sends a request, answers its probes with a load of 0 and ends its attempt successfully after 50 ms. */
-    private static void serve(Proxy proxy) {
-        int before = proxy.done.size();
-        String request = proxy.request(Proxy.SAFE);
-        for (String line : List.copyOf(proxy.done.subList(before, proxy.done.size()))) {
+    private static void serve(SimulatedProxy proxy) {
+        int before = proxy.recordedActions.size();
+        String request = proxy.sendRequest(SimulatedProxy.SAFE);
+        for (String line : List.copyOf(proxy.recordedActions.subList(before, proxy.recordedActions.size()))) {
             if (line.startsWith("probe ")) {
-                proxy.report(line.substring("probe ".length()), 0);
+                proxy.answerProbe(line.substring("probe ".length()), 0);
             }
         }
-        proxy.pass(50);
-        proxy.end(request, Balancer.Outcome.OK);
+        proxy.advanceMs(50);
+        proxy.endAttempt(request, Balancer.Outcome.OK);
     }
 
     @ParameterizedTest
     @CsvSource({"30,5,false", "3200,5,false", "3200,5,true", "3200,640,false", "3200,640,true"})
     void choosingAServerExaminesABoundedNumberOfServers(int servers, int copies, boolean probes) {
-        Proxy.Setup setup = new Proxy.Setup();
-        setup.copies = copies;
-        setup.probes = probes;
-        Proxy proxy = new Proxy(setup).with(IntStream.range(0, servers).mapToObj(i -> "s" + i)
+        SimulatedProxy.TestSettings settings = new SimulatedProxy.TestSettings();
+        settings.copies = copies;
+        settings.canProbe = probes;
+        SimulatedProxy proxy = new SimulatedProxy(settings).withServers(IntStream.range(0,
+                servers).mapToObj(i -> "s" + i)
                 .toArray(String[]::new));
         for (int i = 0; i < FIRST_REQUESTS; i++) {
             serve(proxy);
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -13,89 +13,91 @@
 /** How the decision module applies verdicts, budgets and affinities of the fleet, and what it publishes. */
 class SharedEventsTest {
 
-    private static final long MS = Proxy.MS;
+    private static final long US_PER_MS = SimulatedProxy.US_PER_MS;
 
-    private static Proxy proxy(String... servers) {
-        return new Proxy(new Proxy.Setup()).with(servers);
+    private static SimulatedProxy proxy(String... servers) {
+        return new SimulatedProxy(new SimulatedProxy.TestSettings()).withServers(servers);
     }
 
     @Test
     void peerEjectionHoldsUntilItExpiresAndPeerDemotedServerIsUsedLast() {
-        Proxy p = proxy("a", "b");
-        p.logic.peerVerdict(p.now, "a", Verdict.RESTS, p.now + 500 * MS);
-        assertEquals("b", p.serve());
-        assertEquals("b", p.serve());
-        p.pass(600);
-        assertEquals("a", p.serve());
-        p.logic.peerVerdict(p.now, "b", Verdict.DEMOTED, p.now + 500 * MS);
-        assertEquals("a", p.serve());
-        assertEquals("a", p.serve());
-        p.logic.peerVerdict(p.now, "b", Verdict.DEMOTED, p.now);
-        assertEquals("b", p.serve(), "the demotion was withdrawn");
+        SimulatedProxy proxy = proxy("a", "b");
+        proxy.logic.peerVerdict(proxy.nowUs, "a", Verdict.RESTS, proxy.nowUs + 500 * US_PER_MS);
+        assertEquals("b", proxy.serveRequest());
+        assertEquals("b", proxy.serveRequest());
+        proxy.advanceMs(600);
+        assertEquals("a", proxy.serveRequest());
+        proxy.logic.peerVerdict(proxy.nowUs, "b", Verdict.DEMOTED, proxy.nowUs + 500 * US_PER_MS);
+        assertEquals("a", proxy.serveRequest());
+        assertEquals("a", proxy.serveRequest());
+        proxy.logic.peerVerdict(proxy.nowUs, "b", Verdict.DEMOTED, proxy.nowUs);
+        assertEquals("b", proxy.serveRequest(), "the demotion was withdrawn");
     }
 
     @Test
     void peerEjectionOnlyDemotesAServerThatAnsweredRecently() {
-        Proxy p = proxy("a", "b");
-        String first = p.serve();
-        String second = p.serve();
-        p.logic.peerVerdict(p.now, first, Verdict.RESTS, p.now + 500 * MS);
-        assertEquals(second, p.at(p.request(Proxy.SAFE)));
-        assertEquals(first, p.at(p.request(Proxy.SAFE)),
+        SimulatedProxy proxy = proxy("a", "b");
+        String first = proxy.serveRequest();
+        String second = proxy.serveRequest();
+        proxy.logic.peerVerdict(proxy.nowUs, first, Verdict.RESTS, proxy.nowUs + 500 * US_PER_MS);
+        assertEquals(second, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+        assertEquals(first, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
                 "demoted, not ejected: it is used as the other server is busy");
     }
 
     @Test
     void publishesDemotionAfterConnectFailureAndWithdrawsItAfterRecovery() {
-        Proxy p = proxy("a", "b", "c");
-        String request = p.request(Proxy.SAFE);
-        String server = p.at(request);
-        p.end(request, Outcome.CONNECT_FAILED);
-        assertTrue(p.did("verdict " + server + " DEMOTED"));
-        String again = p.request(Proxy.SAFE);
-        String third = p.request(Proxy.SAFE);
-        String fourth = p.request(Proxy.SAFE);
-        for (String r : List.of(again, third, fourth)) {
-            p.end(r, Outcome.OK);
+        SimulatedProxy proxy = proxy("a", "b", "c");
+        String request = proxy.sendRequest(SimulatedProxy.SAFE);
+        String server = proxy.latestServer(request);
+        proxy.endAttempt(request, Outcome.CONNECT_FAILED);
+        assertTrue(proxy.hasAction("verdict " + server + " DEMOTED"));
+        String second = proxy.sendRequest(SimulatedProxy.SAFE);
+        String third = proxy.sendRequest(SimulatedProxy.SAFE);
+        String fourth = proxy.sendRequest(SimulatedProxy.SAFE);
+        for (String laterRequest : List.of(second, third, fourth)) {
+            proxy.endAttempt(laterRequest, Outcome.OK);
         }
-        assertTrue(p.did("verdict " + server + " DEMOTED back"), p.done.toString());
+        assertTrue(proxy.hasAction("verdict " + server + " DEMOTED back"), proxy.recordedActions.toString());
     }
 
     @Test
     void serverWithExhaustedBudgetGetsNoCallsUntilTheBudgetIsRenewedOrRemoved() {
-        Proxy p = proxy("a", "b");
-        p.logic.serverBudgetChanged(p.now, "a", 1, p.now + 1_000 * MS);
-        Set<String> taken = Set.of(p.serve(), p.serve());
+        SimulatedProxy proxy = proxy("a", "b");
+        proxy.logic.serverBudgetChanged(proxy.nowUs, "a", 1, proxy.nowUs + 1_000 * US_PER_MS);
+        Set<String> taken = Set.of(proxy.serveRequest(), proxy.serveRequest());
         assertEquals(Set.of("a", "b"), taken);
-        assertTrue(p.did("budget a spent"));
-        assertEquals("b", p.serve());
-        assertEquals("b", p.serve());
-        assertTrue(p.did("budget a short"));
-        p.logic.serverBudgetChanged(p.now, "a", 5, p.now - 1);
-        assertEquals("b", p.serve(), "the new budget has already expired");
-        p.logic.serverBudgetChanged(p.now, "a", 0, 0);
-        assertEquals("a", p.serve(), "the budget was removed");
+        assertTrue(proxy.hasAction("budget a spent"));
+        assertEquals("b", proxy.serveRequest());
+        assertEquals("b", proxy.serveRequest());
+        assertTrue(proxy.hasAction("budget a short"));
+        proxy.logic.serverBudgetChanged(proxy.nowUs, "a", 5, proxy.nowUs - 1);
+        assertEquals("b", proxy.serveRequest(), "the new budget has already expired");
+        proxy.logic.serverBudgetChanged(proxy.nowUs, "a", 0, 0);
+        assertEquals("a", proxy.serveRequest(), "the budget was removed");
     }
 
     @Test
     void requestsBeyondTheBudgetOfTheirClassAreRefusedAtOnce() {
-        Proxy p = proxy("a", "b");
-        p.logic.classBudgetChanged(p.now, Proxy.SAFE, 1, p.now + 1_000 * MS);
-        p.serve();
-        int refused = p.count("refuse");
-        p.request(Proxy.SAFE);
-        assertEquals(refused + 1, p.count("refuse"));
-        assertTrue(p.did("class 0 short"));
-        assertNotEquals(null, p.at(p.request(Proxy.UNSAFE)), "no budget is set for the other class");
+        SimulatedProxy proxy = proxy("a", "b");
+        proxy.logic.classBudgetChanged(proxy.nowUs, SimulatedProxy.SAFE, 1, proxy.nowUs + 1_000 * US_PER_MS);
+        proxy.serveRequest();
+        int refused = proxy.countActions("refuse");
+        proxy.sendRequest(SimulatedProxy.SAFE);
+        assertEquals(refused + 1, proxy.countActions("refuse"));
+        assertTrue(proxy.hasAction("class 0 short"));
+        assertNotEquals(null, proxy.latestServer(proxy.sendRequest(SimulatedProxy.UNSAFE)),
+                "no budget is set for the other class");
     }
 
     @Test
     void classUsesItsAffineServersWhileOneOfThemIsIdle() {
-        Proxy p = proxy("a", "b", "c", "d");
-        p.logic.affinityChanged(p.now, Proxy.SAFE, List.of("c"));
-        assertEquals("c", p.serve());
-        assertEquals("c", p.serve());
-        assertEquals("c", p.at(p.request(Proxy.SAFE)));
-        assertNotEquals("c", p.at(p.request(Proxy.SAFE)), "its server is busy with a call of this copy");
+        SimulatedProxy proxy = proxy("a", "b", "c", "d");
+        proxy.logic.affinityChanged(proxy.nowUs, SimulatedProxy.SAFE, List.of("c"));
+        assertEquals("c", proxy.serveRequest());
+        assertEquals("c", proxy.serveRequest());
+        assertEquals("c", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+        assertNotEquals("c", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+                "its server is busy with a call of this copy");
     }
 }
