--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -34,35 +34,35 @@
 
     /** Choice of a server while no server fails. */
     @Nested
-    class Pick {
+    class ServerChoice {
 
         @Test
         void prefersIdleServersToBusyOnes() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
-            Set<String> taken = new HashSet<>();
+            Set<String> usedServers = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                taken.add(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+                usedServers.add(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
             }
-            assertEquals(Set.of("a", "b", "c"), taken);
+            assertEquals(Set.of("a", "b", "c"), usedServers);
         }
 
         @Test
         void picksTheServerWithFewestInFlightWhenNoneIsIdle() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
-            String first = proxy.sendRequest(SimulatedProxy.SAFE);
+            String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE);
             proxy.sendRequest(SimulatedProxy.SAFE);
             proxy.sendRequest(SimulatedProxy.SAFE);
             proxy.sendRequest(SimulatedProxy.SAFE);
-            proxy.endAttempt(first, Outcome.OK);
-            String freed = proxy.latestServer(first);
-            assertEquals(freed, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            proxy.endAttempt(firstRequest, Outcome.OK);
+            String freedServer = proxy.latestServer(firstRequest);
+            assertEquals(freedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
         }
 
         @Test
         void picksTheLeastRecentlyAssignedAmongIdleServers() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
-            String[] round = {proxy.serveRequest(), proxy.serveRequest(), proxy.serveRequest()};
-            for (String server : round) {
+            String[] firstRound = {proxy.serveRequest(), proxy.serveRequest(), proxy.serveRequest()};
+            for (String server : firstRound) {
                 assertEquals(server, proxy.serveRequest());
             }
         }
@@ -80,17 +80,18 @@
         @Test
         void slowServerGetsFewerCalls() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
-            Map<String, Integer> turns = new HashMap<>();
+            Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 String server = proxy.latestServer(request);
-                turns.merge(server, 1, Integer::sum);
+                callsByServer.merge(server, 1, Integer::sum);
                 proxy.advanceMs(100);
                 proxy.logic.outcome(proxy.nowUs, request, 0, server, Outcome.OK,
                         server.equals("a") ? 100 * US_PER_MS : 50 * US_PER_MS,
                         true, null);
             }
-            assertTrue(turns.get("a") * 1.4 < turns.get("b"), "turns: " + turns);
+            assertTrue(callsByServer.get("a") * 1.4 < callsByServer.get("b"),
+                    "calls by server: " + callsByServer);
         }
 
         @Test
@@ -99,27 +100,29 @@
             proxy.logic.serversChanged(proxy.nowUs, ListKind.REMEMBERED, List.of(
                     new Server("small", 0, 0, 0, 1, ServerStatus.UP),
                     new Server("large", 0, 0, 0, 3, ServerStatus.UP)));
-            Map<String, Integer> turns = new HashMap<>();
+            Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 40; i++) {
-                turns.merge(proxy.serveRequest(), 1, Integer::sum);
+                callsByServer.merge(proxy.serveRequest(), 1, Integer::sum);
             }
-            assertTrue(turns.get("large") > 2 * turns.get("small"), "turns: " + turns);
+            assertTrue(callsByServer.get("large") > 2 * callsByServer.get("small"),
+                    "calls by server: " + callsByServer);
         }
 
         @Test
         void serverThatReportsMoreInFlightCallsGetsFewerCalls() {
             // Given equal numbers of calls, machines slower than registered were overloaded one by one.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
-            Map<String, Integer> turns = new HashMap<>();
+            Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 String server = proxy.latestServer(request);
-                turns.merge(server, 1, Integer::sum);
+                callsByServer.merge(server, 1, Integer::sum);
                 proxy.advanceMs(50);
                 proxy.logic.outcome(proxy.nowUs, request, 0, server, Outcome.OK, 50 * US_PER_MS, true,
                         new LoadReport(server.equals("a") ? 9 : 1, -1, -1));
             }
-            assertTrue(turns.get("a") * 1.4 < turns.get("b"), "turns: " + turns);
+            assertTrue(callsByServer.get("a") * 1.4 < callsByServer.get("b"),
+                    "calls by server: " + callsByServer);
         }
 
         @Test
@@ -127,49 +130,51 @@
             SimulatedProxy.TestSettings settings = testSettings();
             settings.crossZonePrice = 0.01;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("near", "near2", "far", "far2");
-            Map<String, Integer> turns = new HashMap<>();
+            Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
-                turns.merge(proxy.serveRequest(), 1, Integer::sum);
+                callsByServer.merge(proxy.serveRequest(), 1, Integer::sum);
             }
-            assertTrue(turns.get("far") > 10, "turns: " + turns);
-            assertTrue(turns.get("far") * 1.5 < turns.get("near"), "turns: " + turns);
+            assertTrue(callsByServer.get("far") > 10, "calls by server: " + callsByServer);
+            assertTrue(callsByServer.get("far") * 1.5 < callsByServer.get("near"),
+                    "calls by server: " + callsByServer);
         }
 
         @Test
         void actionsDependOnlyOnEventsAndSeedNotOnOtherInstances() {
-            SimulatedProxy alone = new SimulatedProxy(testSettings(), 3).withServers("a", "b", "c");
-            SimulatedProxy beside = new SimulatedProxy(testSettings(), 3).withServers("a", "b", "c");
-            SimulatedProxy other = new SimulatedProxy(testSettings(), 4).withServers("a", "b", "c");
+            SimulatedProxy proxyAlone = new SimulatedProxy(testSettings(), 3).withServers("a", "b", "c");
+            SimulatedProxy proxyBesideOther =
+                    new SimulatedProxy(testSettings(), 3).withServers("a", "b", "c");
+            SimulatedProxy otherProxy = new SimulatedProxy(testSettings(), 4).withServers("a", "b", "c");
             for (int i = 0; i < 50; i++) {
-                alone.serveRequest();
-                other.sendRequest(SimulatedProxy.UNSAFE);
-                beside.serveRequest();
+                proxyAlone.serveRequest();
+                otherProxy.sendRequest(SimulatedProxy.UNSAFE);
+                proxyBesideOther.serveRequest();
             }
-            assertEquals(alone.recordedActions, beside.recordedActions);
+            assertEquals(proxyAlone.recordedActions, proxyBesideOther.recordedActions);
         }
     }
 
     /** The subset of a large fleet to which one copy sends its calls. */
     @Nested
-    class Subset {
+    class Subsetting {
 
-        private Map<String, Integer> copiesOf(int copies, List<Server> fleet,
-                Map<Integer, Set<String>> seen) {
-            Map<String, Integer> users = new HashMap<>();
+        private Map<String, Integer> countCopiesByServer(int copies, List<Server> fleet,
+                Map<Integer, Set<String>> serversByCopy) {
+            Map<String, Integer> copiesByServer = new HashMap<>();
             for (int copy = 0; copy < copies; copy++) {
                 SimulatedProxy.TestSettings settings = testSettings();
                 settings.copy = copy;
                 settings.copies = copies;
                 SimulatedProxy proxy = new SimulatedProxy(settings, copy);
                 proxy.logic.serversChanged(proxy.nowUs, ListKind.REMEMBERED, fleet);
-                Set<String> used = new HashSet<>();
+                Set<String> usedServers = new HashSet<>();
                 for (int i = 0; i < 40; i++) {
-                    used.add(proxy.serveRequest());
+                    usedServers.add(proxy.serveRequest());
                 }
-                used.forEach(s -> users.merge(s, 1, Integer::sum));
-                seen.put(copy, used);
+                usedServers.forEach(server -> copiesByServer.merge(server, 1, Integer::sum));
+                serversByCopy.put(copy, usedServers);
             }
-            return users;
+            return copiesByServer;
         }
 
         private List<Server> fleet(int from, int to) {
@@ -182,26 +187,28 @@
 
         @Test
         void manyCopiesUseSmallEvenlyDistributedSubsetsOfALargeFleet() {
-            Map<Integer, Set<String>> seen = new HashMap<>();
-            Map<String, Integer> users = copiesOf(60, fleet(0, 60), seen);
-            assertEquals(60, users.size());
-            assertTrue(seen.values().stream().allMatch(s -> s.size() >= 9 && s.size() <= 11),
-                    seen.toString());
-            assertTrue(users.values().stream().allMatch(n -> n >= 9 && n <= 11), users.toString());
+            Map<Integer, Set<String>> serversByCopy = new HashMap<>();
+            Map<String, Integer> copiesByServer = countCopiesByServer(60, fleet(0, 60), serversByCopy);
+            assertEquals(60, copiesByServer.size());
+            assertTrue(serversByCopy.values().stream().allMatch(s -> s.size() >= 9 && s.size() <= 11),
+                    serversByCopy.toString());
+            assertTrue(copiesByServer.values().stream().allMatch(n -> n >= 9 && n <= 11),
+                    copiesByServer.toString());
         }
 
         @Test
         void removalOfAServerChangesFewSubsetMembers() {
-            Map<Integer, Set<String>> before = new HashMap<>();
-            Map<Integer, Set<String>> after = new HashMap<>();
-            copiesOf(30, fleet(0, 60), before);
-            copiesOf(30, fleet(1, 60), after);
-            int moved = 0;
-            for (int copy : before.keySet()) {
-                after.get(copy).removeAll(before.get(copy));
-                moved += after.get(copy).size();
-            }
-            assertTrue(moved <= 60, "servers added to the subsets of 30 copies, about 10 each: " + moved);
+            Map<Integer, Set<String>> serversByCopyBefore = new HashMap<>();
+            Map<Integer, Set<String>> serversByCopyAfter = new HashMap<>();
+            countCopiesByServer(30, fleet(0, 60), serversByCopyBefore);
+            countCopiesByServer(30, fleet(1, 60), serversByCopyAfter);
+            int addedServers = 0;
+            for (int copy : serversByCopyBefore.keySet()) {
+                serversByCopyAfter.get(copy).removeAll(serversByCopyBefore.get(copy));
+                addedServers += serversByCopyAfter.get(copy).size();
+            }
+            assertTrue(addedServers <= 60,
+                    "servers added to the subsets of 30 copies, about 10 each: " + addedServers);
         }
     }
 
@@ -216,12 +223,12 @@
                 proxy.serveRequest();
             }
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
-            String bad = proxy.latestServer(request);
+            String failedServer = proxy.latestServer(request);
             proxy.endAttempt(request, Outcome.CONNECT_FAILED);
             proxy.endAttempt(request, Outcome.OK);
-            assertNotEquals(bad, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
-            assertNotEquals(bad, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
-            assertEquals(bad, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            assertNotEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            assertNotEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            assertEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
         }
 
         @Test
@@ -233,8 +240,8 @@
                 proxy.endAttempt(request, Outcome.CONNECT_FAILED);
                 proxy.advanceMs(1_000);
             }
-            String held = proxy.sendRequest(SimulatedProxy.SAFE);
-            assertNull(proxy.latestServer(held));
+            String waitingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            assertNull(proxy.latestServer(waitingRequest));
             proxy.advanceMs(4_000);
             assertEquals("a", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
         }
@@ -243,21 +250,21 @@
         void ejectionGetsLongerWithEachFurtherFailure() {
             // Frequent retries would add load to a server that has no free connection.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
-            long[] pauses = new long[2];
+            long[] ejectionsUs = new long[2];
             for (int i = 0; i < 5; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
-                long asked = proxy.nowUs;
+                long requestedAtUs = proxy.nowUs;
                 while (proxy.latestServer(request) == null) {
                     proxy.advanceMs(100);
                     request = proxy.latestServer(request) == null ? proxy.sendRequest(SimulatedProxy.SAFE)
                             : request;
                 }
                 if (i >= 3) {
-                    pauses[i - 3] = proxy.nowUs - asked;
+                    ejectionsUs[i - 3] = proxy.nowUs - requestedAtUs;
                 }
                 proxy.endAttempt(request, Outcome.CONNECT_FAILED);
             }
-            assertTrue(pauses[1] > pauses[0] * 3 / 2, pauses[0] + " then " + pauses[1]);
+            assertTrue(ejectionsUs[1] > ejectionsUs[0] * 3 / 2, ejectionsUs[0] + " then " + ejectionsUs[1]);
         }
 
         @Test
@@ -274,9 +281,10 @@
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
             proxy.updateServer("a", 0, ServerStatus.UP);
             proxy.advanceMs(390);
-            String next = proxy.sendRequest(SimulatedProxy.SAFE);
+            String secondRequest = proxy.sendRequest(SimulatedProxy.SAFE);
             proxy.advanceMs(390);
-            assertTrue("a".equals(proxy.latestServer(request)) || "a".equals(proxy.latestServer(next)));
+            assertTrue("a".equals(proxy.latestServer(request))
+                    || "a".equals(proxy.latestServer(secondRequest)));
         }
 
         @Test
@@ -287,11 +295,11 @@
             for (int i = 0; i < 200; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
                 proxy.advanceMs(20);
-                boolean bad = "a".equals(proxy.latestServer(request));
-                errors += bad ? 1 : 0;
-                proxy.endAttempt(request, bad ? Outcome.ERROR : Outcome.OK);
+                boolean isFailingServer = "a".equals(proxy.latestServer(request));
+                errors += isFailingServer ? 1 : 0;
+                proxy.endAttempt(request, isFailingServer ? Outcome.ERROR : Outcome.OK);
             }
-            assertTrue(errors < 12, "errors: " + errors);
+            assertTrue(errors < 12, "calls that failed: " + errors);
         }
 
         @Test
@@ -317,11 +325,11 @@
             for (int i = 0; i < 8; i++) {
                 proxy.serveRequest();
             }
-            int lost = 0;
+            int lostCalls = 0;
             for (int i = 0; i < 40; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
                 if ("a".equals(proxy.latestServer(request))) {
-                    lost++;
+                    lostCalls++;
                     proxy.advanceMs(1_000);
                     proxy.endAttempt(request, Outcome.TIMEOUT);
                 } else {
@@ -329,13 +337,13 @@
                     proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            assertTrue(lost <= 3, "calls lost: " + lost);
+            assertTrue(lostCalls <= 3, "calls lost: " + lostCalls);
         }
     }
 
     /** Rule 1: each request gets one final answer before its deadline, and nothing after it. */
     @Nested
-    class OneAnswer {
+    class SingleFinalAnswer {
 
         @Test
         void failsBeforeTheDeadlineWhenNoServerIsKnown() {
@@ -375,11 +383,11 @@
         void ignoresEventsForUnknownOrEndedRequests() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
             proxy.serveRequest();
-            int before = proxy.recordedActions.size();
+            int actionsBefore = proxy.recordedActions.size();
             proxy.logic.clientGone(proxy.nowUs, "r0");
             proxy.logic.outcome(proxy.nowUs, "r0", 0, "a", Outcome.OK, 1, true, null);
             proxy.logic.outcome(proxy.nowUs, "unknown", 3, "a", Outcome.ERROR, 1, false, null);
-            assertEquals(before, proxy.recordedActions.size());
+            assertEquals(actionsBefore, proxy.recordedActions.size());
         }
 
         @Test
@@ -395,7 +403,7 @@
 
     /** Rule 2: a request takes effect at most once. */
     @Nested
-    class Effects {
+    class SingleEffect {
 
         @Test
         void unsafeCallIsRetriedOnlyIfItProvablyDidNotRun() {
@@ -428,15 +436,15 @@
 
         @Test
         void slowSafeCallIsHedgedOnlyIfHedgingIsAllowed() {
-            for (boolean allowed : new boolean[] {true, false}) {
+            for (boolean canHedge : new boolean[] {true, false}) {
                 SimulatedProxy.TestSettings settings = testSettings();
-                settings.canHedge = allowed;
+                settings.canHedge = canHedge;
                 SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
                 proxy.serveRequest();
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(300);
-                assertEquals(allowed ? 2 : 1, proxy.countActions("send " + request));
-                if (allowed) {
+                assertEquals(canHedge ? 2 : 1, proxy.countActions("send " + request));
+                if (canHedge) {
                     proxy.endAttempt(request, 1, Outcome.OK);
                     assertTrue(proxy.hasAction("cancel " + request + " 0"));
                 }
@@ -447,10 +455,10 @@
         void keyedCallIsRetriedOnlyWithinItsZone() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             String request = proxy.sendRequest(SimulatedProxy.KEYED_IN_ZONE);
-            String first = proxy.latestServer(request);
+            String firstServer = proxy.latestServer(request);
             proxy.endAttempt(request, Outcome.ERROR);
-            assertEquals("ab".contains(first), "ab".contains(proxy.latestServer(request)));
-            assertNotEquals(first, proxy.latestServer(request));
+            assertEquals("ab".contains(firstServer), "ab".contains(proxy.latestServer(request)));
+            assertNotEquals(firstServer, proxy.latestServer(request));
             proxy.endAttempt(request, Outcome.ERROR);
             proxy.advanceMs(1_000);
             assertEquals(2, proxy.countActions("send " + request));
@@ -512,7 +520,7 @@
 
     /** Rule 3: draining servers get no calls, and changes of the list are followed. */
     @Nested
-    class Servers {
+    class ServerList {
 
         @Test
         void sendsNothingToDrainingRemovedOrUnlistedServers() {
@@ -535,17 +543,17 @@
             settings.watchesDiscovery = true;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a");
             assertEquals(1, proxy.countActions("watch"));
-            long last = 0;
+            long delayUs = 0;
             for (int i = 1; i < 6; i++) {
                 proxy.logic.discoveryFailed(proxy.nowUs);
-                long failed = proxy.nowUs;
+                long failedAtUs = proxy.nowUs;
                 while (proxy.countActions("watch") == i) {
                     proxy.advanceMs(10);
                 }
-                last = proxy.nowUs - failed;
-                assertTrue(last < 8_000 * US_PER_MS, "pause in us: " + last);
+                delayUs = proxy.nowUs - failedAtUs;
+                assertTrue(delayUs < 8_000 * US_PER_MS, "pause in us: " + delayUs);
             }
-            assertTrue(last > 500 * US_PER_MS, "last pause in us: " + last);
+            assertTrue(delayUs > 500 * US_PER_MS, "last pause in us: " + delayUs);
         }
 
         @Test
@@ -577,8 +585,8 @@
 
         @Test
         void allCopiesTogetherSendAColdServerLessThanAWarmServersShare() {
-            int cold = 0;
-            int warm = 0;
+            int coldServerCalls = 0;
+            int warmServerCalls = 0;
             for (int copy = 0; copy < 20; copy++) {
                 SimulatedProxy proxy =
                         new SimulatedProxy(testSettings(), copy).withServers("a", "b", "c", "d");
@@ -588,18 +596,19 @@
                 proxy.updateServer("new", proxy.nowUs, ServerStatus.UP);
                 for (int i = 0; i < 40; i++) {
                     String server = proxy.serveRequest();
-                    cold += server.equals("new") ? 1 : 0;
-                    warm += server.equals("new") ? 0 : 1;
+                    coldServerCalls += server.equals("new") ? 1 : 0;
+                    warmServerCalls += server.equals("new") ? 0 : 1;
                 }
             }
-            assertTrue(cold > 0, "a cold server must get some work");
-            assertTrue(cold < 0.6 * warm / 4,
-                    cold + " calls to the cold server, " + warm / 4 + " to each warm server");
+            assertTrue(coldServerCalls > 0, "a cold server must get some work");
+            assertTrue(coldServerCalls < 0.6 * warmServerCalls / 4,
+                    coldServerCalls + " calls to the cold server, " + warmServerCalls / 4
+                    + " to each warm server");
         }
 
         @Test
         void copiesDoNotAllSendToANewServerAtOnce() {
-            int pounced = 0;
+            int copiesUsingNewServer = 0;
             for (int copy = 0; copy < 40; copy++) {
                 SimulatedProxy proxy =
                         new SimulatedProxy(testSettings(), copy).withServers("a", "b", "c", "d");
@@ -607,9 +616,10 @@
                     proxy.serveRequest();
                 }
                 proxy.updateServer("new", proxy.nowUs, ServerStatus.UP);
-                pounced += "new".equals(proxy.serveRequest()) ? 1 : 0;
+                copiesUsingNewServer += "new".equals(proxy.serveRequest()) ? 1 : 0;
             }
-            assertTrue(pounced < 12, pounced + " of 40 copies took the new server first");
+            assertTrue(copiesUsingNewServer < 12,
+                    copiesUsingNewServer + " of 40 copies took the new server first");
         }
 
         @Test
@@ -624,12 +634,12 @@
                     proxy.advanceMs(1_950);
                 }
                 proxy.updateServer("new", proxy.nowUs, ServerStatus.UP);
-                Set<String> used = new HashSet<>();
+                Set<String> usedServers = new HashSet<>();
                 for (int i = 0; i < 14; i++) {
-                    used.add(proxy.serveRequest());
+                    usedServers.add(proxy.serveRequest());
                     proxy.advanceMs(1_950);
                 }
-                assertTrue(used.contains("new"),
+                assertTrue(usedServers.contains("new"),
                         "not used within 28 s, though cold for only 8 s; seed " + seed);
             }
         }
@@ -641,19 +651,20 @@
                 proxy.serveRequest();
             }
             proxy.updateServer("a", proxy.nowUs, ServerStatus.UP);
-            int calls = 0;
+            int callsToRestartedServer = 0;
             for (int i = 0; i < 10; i++) {
-                calls += proxy.serveRequest().equals("a") ? 1 : 0;
+                callsToRestartedServer += proxy.serveRequest().equals("a") ? 1 : 0;
             }
-            assertTrue(calls <= 4, "calls to the restarted server: " + calls);
+            assertTrue(callsToRestartedServer <= 4,
+                    "calls to the restarted server: " + callsToRestartedServer);
         }
     }
 
     /** Probes, overload, congestion and quotas of tenants. */
     @Nested
-    class Exceptions {
+    class ProbesAndOverload {
 
-        private SimulatedProxy.TestSettings probing() {
+        private SimulatedProxy.TestSettings probingSettings() {
             SimulatedProxy.TestSettings settings = testSettings();
             settings.canProbe = true;
             return settings;
@@ -661,18 +672,18 @@
 
         @Test
         void probesTwoServersAndUsesTheFirstFoundIdle() {
-            SimulatedProxy proxy = new SimulatedProxy(probing()).withServers("a", "b", "c", "d");
+            SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
             proxy.answerProbe("d", 3);
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
             assertEquals(2, proxy.countActions("probe"));
             assertNull(proxy.latestServer(request));
-            String busy = proxy.recordedActions.get(0).substring(6);
-            String idle = proxy.recordedActions.get(1).substring(6);
+            String busyServer = proxy.recordedActions.get(0).substring(6);
+            String idleServer = proxy.recordedActions.get(1).substring(6);
             proxy.nowUs += US_PER_MS;
-            proxy.answerProbe(busy, 1);
+            proxy.answerProbe(busyServer, 1);
             assertNull(proxy.latestServer(request));
-            proxy.answerProbe(idle, 0);
-            assertEquals(idle, proxy.latestServer(request));
+            proxy.answerProbe(idleServer, 0);
+            assertEquals(idleServer, proxy.latestServer(request));
         }
 
         @Test
@@ -680,17 +691,17 @@
             // Hung servers keep their backlog and were never assigned a call, so each call probed them first.
             // The load that they reported was assumed for all other servers, until nothing was sent any more.
             SimulatedProxy proxy =
-                    new SimulatedProxy(probing()).withServers("a", "b", "c", "d", "e", "f", "g", "h");
+                    new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d", "e", "f", "g", "h");
             for (int i = 0; i < 60; i++) {
-                int seen = proxy.recordedActions.size();
+                int nextAction = proxy.recordedActions.size();
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
-                for (int ms = 0; ms < 20; ms++) {
+                for (int elapsedMs = 0; elapsedMs < 20; elapsedMs++) {
                     proxy.advanceMs(1);
-                    for (; seen < proxy.recordedActions.size(); seen++) {
-                        String line = proxy.recordedActions.get(seen);
-                        if (line.startsWith("probe")) {
-                            proxy.answerProbe(line.substring(6),
-                                    line.endsWith("a") || line.endsWith("b") ? 6 : 0);
+                    for (; nextAction < proxy.recordedActions.size(); nextAction++) {
+                        String action = proxy.recordedActions.get(nextAction);
+                        if (action.startsWith("probe")) {
+                            proxy.answerProbe(action.substring(6),
+                                    action.endsWith("a") || action.endsWith("b") ? 6 : 0);
                         }
                     }
                 }
@@ -708,25 +719,25 @@
         void probesOneServerAtATimeUnderLightLoad() {
             // Under light load the first probed server is nearly always idle, so a second probe is
             // wasted cost.
-            SimulatedProxy proxy = new SimulatedProxy(probing()).withServers("a", "b", "c", "d");
+            SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
             assertEquals(1, proxy.countActions("probe"));
-            String asked = proxy.recordedActions.get(0).substring(6);
+            String probedServer = proxy.recordedActions.get(0).substring(6);
             proxy.nowUs += US_PER_MS;
-            proxy.answerProbe(asked, 0);
-            assertEquals(asked, proxy.latestServer(request));
+            proxy.answerProbe(probedServer, 0);
+            assertEquals(probedServer, proxy.latestServer(request));
         }
 
         /** Returns a copy that has had 12 calls served, all of whose probes reported a load of 0. */
-        private SimulatedProxy served(String... servers) {
-            SimulatedProxy proxy = new SimulatedProxy(probing()).withServers(servers);
+        private SimulatedProxy proxyAfterServedCalls(String... servers) {
+            SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers(servers);
             for (int i = 0; i < 12; i++) {
-                int seen = proxy.recordedActions.size();
+                int nextAction = proxy.recordedActions.size();
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(1);
-                for (; seen < proxy.recordedActions.size(); seen++) {
-                    if (proxy.recordedActions.get(seen).startsWith("probe")) {
-                        proxy.answerProbe(proxy.recordedActions.get(seen).substring(6), 0);
+                for (; nextAction < proxy.recordedActions.size(); nextAction++) {
+                    if (proxy.recordedActions.get(nextAction).startsWith("probe")) {
+                        proxy.answerProbe(proxy.recordedActions.get(nextAction).substring(6), 0);
                     }
                 }
                 proxy.advanceMs(50);
@@ -739,20 +750,22 @@
         @Test
         void resumesProbingOnceSlowProbesAreFastAgain() {
             // A stall of the proxy in its first seconds made probes look slow, and it never probed again.
-            SimulatedProxy proxy = served("a", "b", "c", "d");
-            for (String s : List.of("a", "b", "c", "d")) {
-                proxy.logic.probeResult(proxy.nowUs, s, Outcome.OK, 200 * US_PER_MS, new LoadReport(0, 0, 0));
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
+            for (String server : List.of("a", "b", "c", "d")) {
+                proxy.logic.probeResult(proxy.nowUs, server, Outcome.OK, 200 * US_PER_MS,
+                        new LoadReport(0, 0, 0));
             }
             proxy.advanceMs(2_000);
-            String slow = proxy.sendRequest(SimulatedProxy.SAFE);
-            assertNotNull(proxy.latestServer(slow), "a call must not wait for slow probes");
-            proxy.endAttempt(slow, Outcome.OK);
-            int seen = proxy.recordedActions.size();
+            String requestDuringSlowProbes = proxy.sendRequest(SimulatedProxy.SAFE);
+            assertNotNull(proxy.latestServer(requestDuringSlowProbes),
+                    "a call must not wait for slow probes");
+            proxy.endAttempt(requestDuringSlowProbes, Outcome.OK);
+            int nextAction = proxy.recordedActions.size();
             for (int i = 0; i < 40; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(1);
-                answer(proxy, seen, 0, "");
-                seen = proxy.recordedActions.size();
+                answerProbes(proxy, nextAction, 0, "");
+                nextAction = proxy.recordedActions.size();
                 proxy.advanceMs(300);
                 proxy.endAttempt(request, Outcome.OK);
             }
@@ -761,11 +774,12 @@
         }
 
         /** Answers the probes recorded from an index on, except those to unreachable servers. */
-        private void answer(SimulatedProxy proxy, int since, int inFlight, String cutOff) {
-            for (int i = since; i < proxy.recordedActions.size(); i++) {
-                String[] words = proxy.recordedActions.get(i).split(" ");
-                if (words[0].equals("probe") && !cutOff.contains(words[1])) {
-                    proxy.answerProbe(words[1], inFlight);
+        private void answerProbes(SimulatedProxy proxy, int fromAction, int inFlight,
+                String unreachableServers) {
+            for (int i = fromAction; i < proxy.recordedActions.size(); i++) {
+                String[] actionWords = proxy.recordedActions.get(i).split(" ");
+                if (actionWords[0].equals("probe") && !unreachableServers.contains(actionWords[1])) {
+                    proxy.answerProbe(actionWords[1], inFlight);
                 }
             }
         }
@@ -774,66 +788,67 @@
         void serverWithAnUnansweredProbeDoesNotGetTheCall() {
             // The least recently assigned server is probed first. When it did not answer, the call went to it
             // all the same, as it was still the least recently assigned one.
-            SimulatedProxy proxy = served("a", "b", "c", "d");
-            int seen = proxy.recordedActions.size();
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
+            int nextAction = proxy.recordedActions.size();
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
-            String silent = proxy.recordedActions.get(seen).substring(6);
+            String probedServer = proxy.recordedActions.get(nextAction).substring(6);
             proxy.advanceMs(50);
             assertNotNull(proxy.latestServer(request));
-            assertNotEquals(silent, proxy.latestServer(request));
+            assertNotEquals(probedServer, proxy.latestServer(request));
         }
 
         @Test
         void ejectsAServerAfterTwoUnansweredProbes() {
             // An unreachable server that was only demoted still got calls while all other servers were busy.
-            SimulatedProxy proxy = served("a", "b", "c", "d");
-            int before = proxy.countActions("probe a");
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
+            int probesBefore = proxy.countActions("probe a");
             for (int i = 0; i < 2; i++) {
                 proxy.logic.probeResult(proxy.nowUs, "a", Outcome.TIMEOUT, 50 * US_PER_MS, null);
             }
             for (int i = 0; i < 6; i++) {
-                int seen = proxy.recordedActions.size();
+                int nextAction = proxy.recordedActions.size();
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(5);
-                answer(proxy, seen, 0, "a");
+                answerProbes(proxy, nextAction, 0, "a");
                 proxy.advanceMs(5);
                 assertNotEquals("a", proxy.latestServer(request));
             }
-            assertEquals(before, proxy.countActions("probe a"));
+            assertEquals(probesBefore, proxy.countActions("probe a"));
         }
 
         @Test
         void probeThatWasNotSentDoesNotCountAgainstItsServer() {
             // Two probes that failed on the proxy's own machine ejected a server that had received no probe.
-            SimulatedProxy proxy = served("a", "b", "c", "d");
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
             for (int i = 0; i < 2; i++) {
                 proxy.logic.probeResult(proxy.nowUs, "a", Outcome.NOT_SENT, 0, null);
             }
-            int before = proxy.countActions("probe a");
+            int probesBefore = proxy.countActions("probe a");
             for (int i = 0; i < 8; i++) {
-                int seen = proxy.recordedActions.size();
+                int nextAction = proxy.recordedActions.size();
                 proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(5);
-                answer(proxy, seen, 0, "");
+                answerProbes(proxy, nextAction, 0, "");
                 proxy.advanceMs(5);
             }
-            assertNotEquals(before, proxy.countActions("probe a"));
+            assertNotEquals(probesBefore, proxy.countActions("probe a"));
         }
 
         @Test
         void prefersABusyServerToOneWithUnansweredProbes() {
             // A partition of the zone makes more than half of the servers unreachable, so some of them are
             // not ejected; those got every call that found the reachable servers busy.
-            SimulatedProxy proxy = served("a", "b", "c");
-            for (String cutOff : List.of("a", "b", "a", "b")) {
-                proxy.logic.probeResult(proxy.nowUs, cutOff, Outcome.TIMEOUT, 50 * US_PER_MS, null);
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c");
+            for (String unreachableServer : List.of("a", "b", "a", "b")) {
+                proxy.logic.probeResult(proxy.nowUs, unreachableServer, Outcome.TIMEOUT, 50 * US_PER_MS,
+                        null);
             }
-            int seen = proxy.recordedActions.size();
+            int nextAction = proxy.recordedActions.size();
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
             for (int i = 0; i < 4; i++) {
                 proxy.advanceMs(2);
-                answer(proxy, seen, 1, "a b");
-                seen = proxy.recordedActions.size();
+                answerProbes(proxy, nextAction, 1, "a b");
+                nextAction = proxy.recordedActions.size();
             }
             proxy.advanceMs(10);
             assertEquals("c", proxy.latestServer(request));
@@ -846,35 +861,36 @@
             for (int i = 0; i < 12; i++) {
                 proxy.serveRequest();
             }
-            List<String> sent = new ArrayList<>();
-            List<String> held = new ArrayList<>();
+            List<String> sentRequests = new ArrayList<>();
+            List<String> waitingRequests = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
-                (proxy.latestServer(request) == null ? held : sent).add(request);
+                (proxy.latestServer(request) == null ? waitingRequests : sentRequests).add(request);
             }
-            assertTrue(held.size() > 1, "waiting calls: " + held);
+            assertTrue(waitingRequests.size() > 1, "waiting calls: " + waitingRequests);
             proxy.advanceMs(100);
-            proxy.endAttempt(sent.get(0), Outcome.OK);
-            String newest = held.get(held.size() - 1);
-            for (int i = 1; i < sent.size() && proxy.latestServer(held.get(0)) == null; i++) {
-                proxy.endAttempt(sent.get(i), Outcome.OK);
-            }
-            assertNotNull(proxy.latestServer(held.get(0)));
-            assertNull(proxy.latestServer(newest));
+            proxy.endAttempt(sentRequests.get(0), Outcome.OK);
+            String newestWaitingRequest = waitingRequests.get(waitingRequests.size() - 1);
+            for (int i = 1; i < sentRequests.size()
+                    && proxy.latestServer(waitingRequests.get(0)) == null; i++) {
+                proxy.endAttempt(sentRequests.get(i), Outcome.OK);
+            }
+            assertNotNull(proxy.latestServer(waitingRequests.get(0)));
+            assertNull(proxy.latestServer(newestWaitingRequest));
             proxy.advanceMs(260);
-            for (String request : sent) {
+            for (String request : sentRequests) {
                 proxy.logic.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, 360 * US_PER_MS, true, null);
             }
-            for (String request : held) {
+            for (String request : waitingRequests) {
                 assertTrue(proxy.latestServer(request) != null || proxy.hasAction("refuse " + request)
                         || proxy.hasAction("fail " + request), request);
             }
-            assertNull(proxy.latestServer(newest), "sent though only 40 of 400 ms were left");
+            assertNull(proxy.latestServer(newestWaitingRequest), "sent though only 40 of 400 ms were left");
         }
 
         @Test
         void sendsTheCallEvenIfNoProbeIsAnswered() {
-            SimulatedProxy proxy = new SimulatedProxy(probing()).withServers("a", "b", "c", "d");
+            SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
             proxy.advanceMs(50);
             assertNotNull(proxy.latestServer(request));
@@ -897,18 +913,18 @@
             for (int i = 0; i < 60; i++) {
                 proxy.sendRequest(SimulatedProxy.SAFE);
             }
-            int sent = proxy.countActions("send") - 10;
-            assertTrue(sent < 12, "sent at once: " + sent);
+            int sentAtOnce = proxy.countActions("send") - 10;
+            assertTrue(sentAtOnce < 12, "sent at once: " + sentAtOnce);
             proxy.advanceMs(1_000);
-            assertEquals(60, sent + proxy.countActions("fail") + proxy.countActions("refuse")
-                    + proxy.countActions("send") - 10 - sent);
+            assertEquals(60, sentAtOnce + proxy.countActions("fail") + proxy.countActions("refuse")
+                    + proxy.countActions("send") - 10 - sentAtOnce);
         }
 
         @Test
         void withProbesCallsBeyondTheQuotaStillGoToIdleServers() {
             // A copy that gets a tenant's calls unevenly, about one per second, refused calls within the
             // quota.
-            SimulatedProxy.TestSettings settings = probing();
+            SimulatedProxy.TestSettings settings = probingSettings();
             settings.tenantQuotaPerSecond = 3;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
             for (int i = 0; i < 30; i++) {
@@ -942,16 +958,16 @@
                     proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            int begun = 0;
+            int sentCalls = 0;
             for (int i = 0; i < 5; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE, 1);
                 proxy.advanceMs(1);
                 if (proxy.latestServer(request) != null) {
-                    begun++;
+                    sentCalls++;
                     proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            assertEquals(5, begun);
+            assertEquals(5, sentCalls);
         }
 
         @Test
@@ -960,19 +976,19 @@
             SimulatedProxy.TestSettings settings = testSettings();
             settings.tenantQuotaPerSecond = 30;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b");
-            int sent = 0;
+            int sentCalls = 0;
             for (int i = 0; i < 60; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE, 1);
                 proxy.advanceMs(10);
                 if (proxy.latestServer(request) != null) {
-                    sent++;
+                    sentCalls++;
                     proxy.endAttempt(request, Outcome.OK);
                 } else {
                     assertTrue(proxy.hasAction("refuse " + request));
                 }
             }
-            assertTrue(sent >= 10 && sent <= 20,
-                    "sent of 60 in 0.6 s, with a quota of 10 per second for this copy: " + sent);
+            assertTrue(sentCalls >= 10 && sentCalls <= 20,
+                    "sent of 60 in 0.6 s, with a quota of 10 per second for this copy: " + sentCalls);
             assertNotNull(proxy.serveRequest(), "requests of other tenants are served as before");
             proxy.advanceMs(2_000);
             assertNotNull(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE, 1)),
@@ -987,8 +1003,8 @@
                 proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(100);
             }
-            int begun = proxy.serversByRequest.size();
-            assertTrue(begun < 40, "calls sent of 100, none served: " + begun);
+            int sentCalls = proxy.serversByRequest.size();
+            assertTrue(sentCalls < 40, "calls sent of 100, none served: " + sentCalls);
             assertEquals(1, proxy.countActions("log jam"));
             for (int i = 0; i < 100; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
@@ -997,11 +1013,11 @@
                     proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            begun = proxy.serversByRequest.size();
+            sentCalls = proxy.serversByRequest.size();
             for (int i = 0; i < 20; i++) {
                 assertNotNull(proxy.serveRequest());
             }
-            assertEquals(begun + 20, proxy.serversByRequest.size());
+            assertEquals(sentCalls + 20, proxy.serversByRequest.size());
             assertEquals(1, proxy.countActions("log the jam has cleared"));
         }
 
@@ -1010,10 +1026,10 @@
             // Clients that disconnect early were counted as calls that the servers had served too slowly.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String left = proxy.sendRequest(SimulatedProxy.SAFE);
+                String abandonedRequest = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(20);
-                proxy.logic.clientGone(proxy.nowUs, left);
-                proxy.endAttempt(left, Outcome.CANCELLED);
+                proxy.logic.clientGone(proxy.nowUs, abandonedRequest);
+                proxy.endAttempt(abandonedRequest, Outcome.CANCELLED);
                 if (i % 4 == 0) {
                     assertNotNull(proxy.serveRequest());
                 }
@@ -1025,11 +1041,11 @@
         void clientsThatDisconnectAfterTheirAimCountAsNotServed() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 25; i++) {
-                List<String> late =
+                List<String> abandonedRequests =
                         List.of(proxy.sendRequest(SimulatedProxy.SAFE),
                         proxy.sendRequest(SimulatedProxy.SAFE), proxy.sendRequest(SimulatedProxy.SAFE));
                 proxy.advanceMs(500);
-                late.forEach(request -> proxy.logic.clientGone(proxy.nowUs, request));
+                abandonedRequests.forEach(request -> proxy.logic.clientGone(proxy.nowUs, request));
             }
             assertNotEquals(0, proxy.countActions("log jam"));
         }
@@ -1039,12 +1055,12 @@
             // The failure count decayed only when a call was sent, so a copy with few calls refused them for
             // seconds.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
-            List<String> failed = new ArrayList<>();
+            List<String> failedRequests = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                failed.add(proxy.sendRequest(SimulatedProxy.UNSAFE));
+                failedRequests.add(proxy.sendRequest(SimulatedProxy.UNSAFE));
             }
             proxy.advanceMs(500);
-            failed.forEach(request -> proxy.endAttempt(request, Outcome.ERROR));
+            failedRequests.forEach(request -> proxy.endAttempt(request, Outcome.ERROR));
             proxy.sendRequest(SimulatedProxy.SAFE);
             assertEquals(1, proxy.countActions("log jam"));
             proxy.advanceMs(2_000);
@@ -1061,34 +1077,37 @@
         void longCallsDoNotRaiseTheEstimatedSlownessOfTheirServer() {
             // Slow servers got only long calls, so they were estimated as slower still and were half idle.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
-            String held = proxy.sendRequest(SimulatedProxy.SAFE);
-            String other = proxy.latestServer(held).equals("a") ? "b" : "a";
+            String blockingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            String idleServer = proxy.latestServer(blockingRequest).equals("a") ? "b" : "a";
             for (int i = 0; i < 200; i++) {
                 // While one server is busy, the other gets every call: a only long calls, b only short ones.
-                String request = proxy.sendRequest(other.equals("a") ? SimulatedProxy.UNSAFE
+                String request = proxy.sendRequest(idleServer.equals("a") ? SimulatedProxy.UNSAFE
                         : SimulatedProxy.SAFE);
-                assertEquals(other, proxy.latestServer(request));
-                long took = other.equals("a") ? 90 : 30;
-                proxy.advanceMs(took);
-                proxy.logic.outcome(proxy.nowUs, request, 0, other, Outcome.OK, took * US_PER_MS, true, null);
+                assertEquals(idleServer, proxy.latestServer(request));
+                long durationMs = idleServer.equals("a") ? 90 : 30;
+                proxy.advanceMs(durationMs);
+                proxy.logic.outcome(proxy.nowUs, request, 0, idleServer, Outcome.OK, durationMs * US_PER_MS,
+                        true, null);
                 if (i % 10 == 9) {
-                    String next = proxy.sendRequest(SimulatedProxy.SAFE);
-                    assertEquals(other, proxy.latestServer(next));
-                    proxy.logic.outcome(proxy.nowUs, held, 0, proxy.latestServer(held), Outcome.OK,
+                    String nextBlockingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+                    assertEquals(idleServer, proxy.latestServer(nextBlockingRequest));
+                    proxy.logic.outcome(proxy.nowUs, blockingRequest, 0, proxy.latestServer(blockingRequest),
+                            Outcome.OK,
                             30 * US_PER_MS, true, null);
-                    other = proxy.latestServer(held);
-                    held = next;
+                    idleServer = proxy.latestServer(blockingRequest);
+                    blockingRequest = nextBlockingRequest;
                 }
             }
-            proxy.endAttempt(held, Outcome.OK);
-            int before = proxy.recordedActions.size();
+            proxy.endAttempt(blockingRequest, Outcome.OK);
+            int actionsBefore = proxy.recordedActions.size();
             for (int i = 0; i < 40; i++) {
                 proxy.sendRequest(SimulatedProxy.SAFE);
             }
-            List<String> sent = proxy.recordedActions.subList(before, proxy.recordedActions.size());
-            long toLong = sent.stream().filter(line -> line.matches("send r\\d+ a .*")).count();
-            long toShort = sent.stream().filter(line -> line.matches("send r\\d+ b .*")).count();
-            assertTrue(toLong * 2 > toShort, "calls sent to a: " + toLong + ", to b: " + toShort);
+            List<String> sendActions =
+                    proxy.recordedActions.subList(actionsBefore, proxy.recordedActions.size());
+            long callsToA = sendActions.stream().filter(action -> action.matches("send r\\d+ a .*")).count();
+            long callsToB = sendActions.stream().filter(action -> action.matches("send r\\d+ b .*")).count();
+            assertTrue(callsToA * 2 > callsToB, "calls sent to a: " + callsToA + ", to b: " + callsToB);
         }
 
         @Test
@@ -1099,9 +1118,11 @@
             for (int i = 0; i < 12; i++) {
                 proxy.serveRequest();
             }
-            long first = 600 * US_PER_MS;
-            proxy.logic.request(proxy.nowUs, new Request("first", SimulatedProxy.SAFE, 0, first, 0, false));
-            proxy.logic.request(proxy.nowUs, new Request("again", SimulatedProxy.SAFE, 0, first, 0, true));
+            long timeLeftUs = 600 * US_PER_MS;
+            proxy.logic.request(proxy.nowUs,
+                    new Request("first", SimulatedProxy.SAFE, 0, timeLeftUs, 0, false));
+            proxy.logic.request(proxy.nowUs,
+                    new Request("again", SimulatedProxy.SAFE, 0, timeLeftUs, 0, true));
             proxy.logic.request(proxy.nowUs,
                     new Request("soon", SimulatedProxy.SAFE, 0, 900 * US_PER_MS, 0, true));
             proxy.logic.request(proxy.nowUs,
@@ -1125,7 +1146,7 @@
                             900 * US_PER_MS, true, null);
                 }
             }
-            int before = proxy.countActions("send");
+            int sendsBefore = proxy.countActions("send");
             for (int i = 0; i < 300; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(50);
@@ -1133,8 +1154,8 @@
                     proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            assertTrue(proxy.countActions("send") - before > 100,
-                    "calls sent after the slow period: " + (proxy.countActions("send") - before));
+            assertTrue(proxy.countActions("send") - sendsBefore > 100,
+                    "calls sent after the slow period: " + (proxy.countActions("send") - sendsBefore));
         }
     }
 
@@ -1142,12 +1163,12 @@
     void invalidSettingsAreRejectedWithTheirName() {
         SimulatedProxy.TestSettings settings = testSettings();
         settings.maxAttempts = 0;
-        var e = assertThrows(IllegalArgumentException.class, () -> new SimulatedProxy(settings));
-        assertTrue(e.getMessage().startsWith("limits.maxAttempts"), e.getMessage());
+        var exception = assertThrows(IllegalArgumentException.class, () -> new SimulatedProxy(settings));
+        assertTrue(exception.getMessage().startsWith("limits.maxAttempts"), exception.getMessage());
         settings.maxAttempts = 1;
         settings.coldStartShare = 0;
-        e = assertThrows(IllegalArgumentException.class, () -> new SimulatedProxy(settings));
-        assertTrue(e.getMessage().startsWith("rules.coldFrom"), e.getMessage());
+        exception = assertThrows(IllegalArgumentException.class, () -> new SimulatedProxy(settings));
+        assertTrue(exception.getMessage().startsWith("rules.coldFrom"), exception.getMessage());
         assertThrows(IllegalArgumentException.class, () -> new Logic(null, 1, null));
         assertFalse(new SimulatedProxy(testSettings()).hasAction("anything"));
     }
@@ -1179,34 +1200,35 @@
             proxy.logic.maintenanceChanged(proxy.nowUs, "a", true);
             proxy.advanceMs(3_000);
             proxy.logic.maintenanceChanged(proxy.nowUs, "a", false);
-            assertTrue(usedWithin(5_000, 300), "a copy with few calls uses the server again within 5 s");
+            assertTrue(isUsedWithin(5_000, 300), "a copy with few calls uses the server again within 5 s");
         }
 
         @Test
         void serverIsColdAfterMaintenanceEvenIfTheListDoesNotReportARestart() {
-            SimulatedProxy busy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
+            SimulatedProxy busyProxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 200; i++) {
-                busy.serveRequest();
+                busyProxy.serveRequest();
             }
-            busy.logic.maintenanceChanged(busy.nowUs, "a", true);
-            busy.advanceMs(1_000);
-            busy.logic.maintenanceChanged(busy.nowUs, "a", false);
+            busyProxy.logic.maintenanceChanged(busyProxy.nowUs, "a", true);
+            busyProxy.advanceMs(1_000);
+            busyProxy.logic.maintenanceChanged(busyProxy.nowUs, "a", false);
             // The list reports the restart that took place during the maintenance only afterwards.
-            busy.updateServer("a", busy.nowUs - 500 * US_PER_MS, ServerStatus.UP);
-            int taken = 0;
+            busyProxy.updateServer("a", busyProxy.nowUs - 500 * US_PER_MS, ServerStatus.UP);
+            int callsToServer = 0;
             for (int i = 0; i < 40; i++) {
-                taken += "a".equals(busy.serveRequest()) ? 1 : 0;
+                callsToServer += "a".equals(busyProxy.serveRequest()) ? 1 : 0;
             }
-            assertTrue(taken >= 1 && taken <= 6, "calls of 40, where a warm server would get 10: " + taken);
+            assertTrue(callsToServer >= 1 && callsToServer <= 6,
+                    "calls of 40, where a warm server would get 10: " + callsToServer);
         }
 
         @Test
         void retriesAvoidAServerInMaintenance() {
-            String first = proxy.sendRequest(SimulatedProxy.SAFE);
-            String server = proxy.latestServer(first);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String server = proxy.latestServer(request);
             proxy.logic.maintenanceChanged(proxy.nowUs, server, true);
-            proxy.endAttempt(first, Outcome.NOT_SENT);
-            assertNotEquals(server, proxy.latestServer(first));
+            proxy.endAttempt(request, Outcome.NOT_SENT);
+            assertNotEquals(server, proxy.latestServer(request));
         }
 
         @Test
@@ -1218,11 +1240,11 @@
                 assertNotEquals("d", proxy.serveRequest());
             }
             proxy.logic.maintenanceChanged(proxy.nowUs, "d", false);
-            boolean used = false;
+            boolean isUsed = false;
             for (int i = 0; i < 100; i++) {
-                used |= "d".equals(proxy.serveRequest());
+                isUsed |= "d".equals(proxy.serveRequest());
             }
-            assertTrue(used);
+            assertTrue(isUsed);
         }
 
         @Test
@@ -1236,26 +1258,27 @@
             assertEquals("b", proxy.serveRequest());
         }
 
-        private boolean usedWithin(long ms, long gapMs) {
-            boolean used = false;
-            for (long at = 0; at < ms; at += gapMs) {
-                used |= "a".equals(proxy.serveRequest());
-                proxy.advanceMs(gapMs - 50);
+        private boolean isUsedWithin(long durationMs, long intervalMs) {
+            boolean isUsed = false;
+            for (long elapsedMs = 0; elapsedMs < durationMs; elapsedMs += intervalMs) {
+                isUsed |= "a".equals(proxy.serveRequest());
+                proxy.advanceMs(intervalMs - 50);
             }
-            return used;
+            return isUsed;
         }
     }
 
     /** Estimates of service times in a copy that has just started. */
     @Nested
-    class Beginning {
+    class ServiceTimesAfterStart {
 
         @Test
         void oneSlowFirstCallDoesNotMakeLaterCallsLookUnservable() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
-            String first = proxy.sendRequest(SimulatedProxy.SAFE);
+            String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE);
             proxy.advanceMs(410);
-            proxy.logic.outcome(proxy.nowUs, first, 0, proxy.latestServer(first), Outcome.OK, 410 * US_PER_MS,
+            proxy.logic.outcome(proxy.nowUs, firstRequest, 0, proxy.latestServer(firstRequest), Outcome.OK,
+                    410 * US_PER_MS,
                     true, null);
             proxy.advanceMs(1_000);
             for (int i = 0; i < 5; i++) {
@@ -1268,23 +1291,23 @@
 
     /** Request and response bodies too large to be buffered, which are streamed. */
     @Nested
-    class Large {
+    class StreamedBodies {
 
         private final SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
 
-        private String upload() {
+        private String sendUpload() {
             proxy.logic.request(proxy.nowUs,
                     new Request("up", SimulatedProxy.UNSAFE, 0, 1_000 * US_PER_MS, 0, false, true));
             return proxy.latestServer("up");
         }
 
-        private Set<String> twoMore() {
+        private Set<String> serversOfTwoMoreRequests() {
             return new HashSet<>(List.of(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
                     proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE))));
         }
 
         /** Serves 20 calls so that both servers are known to take 50 ms per call. */
-        private void learn() {
+        private void serveCallsToMeasureDurations() {
             for (int i = 0; i < 20; i++) {
                 proxy.serveRequest();
             }
@@ -1292,18 +1315,18 @@
 
         @Test
         void serverCountsAsIdleWhileItsRequestBodyIsBeingUploaded() {
-            learn();
-            String server = upload();
-            Set<String> taken = twoMore();
-            assertEquals(Set.of("a", "b"), taken);
+            serveCallsToMeasureDurations();
+            String server = sendUpload();
+            Set<String> usedServers = serversOfTwoMoreRequests();
+            assertEquals(Set.of("a", "b"), usedServers);
             proxy.logic.uploadCompleted(proxy.nowUs, "up");
-            assertTrue(taken.contains(server));
+            assertTrue(usedServers.contains(server));
         }
 
         @Test
         void slowUploadDoesNotCountAgainstItsServer() {
-            learn();
-            String server = upload();
+            serveCallsToMeasureDurations();
+            String server = sendUpload();
             proxy.advanceMs(20_000);
             proxy.logic.uploadCompleted(proxy.nowUs, "up");
             proxy.advanceMs(60);
@@ -1315,12 +1338,12 @@
 
         @Test
         void serverIsBusyAndTimeoutsApplyAfterTheUpload() {
-            learn();
-            String server = upload();
+            serveCallsToMeasureDurations();
+            String server = sendUpload();
             proxy.advanceMs(20_000);
             proxy.logic.uploadCompleted(proxy.nowUs, "up");
-            String other = proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE));
-            assertNotEquals(server, other, "the server works on the uploaded request now");
+            String otherServer = proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE));
+            assertNotEquals(server, otherServer, "the server works on the uploaded request now");
             proxy.advanceMs(900);
             proxy.endAttempt("up", Outcome.TIMEOUT);
             assertTrue(proxy.hasAction("fail up") || proxy.hasAction("refuse up"));
@@ -1328,7 +1351,7 @@
 
         @Test
         void requestWithAPartlyDiscardedBodyIsNotRetried() {
-            upload();
+            sendUpload();
             proxy.logic.bodyDiscarded(proxy.nowUs, "up");
             proxy.endAttempt("up", Outcome.CONNECT_FAILED);
             assertEquals(1, proxy.attemptCounts.get("up"));
@@ -1337,20 +1360,20 @@
 
         @Test
         void requestWithAFullyBufferedBodyIsRetriedOnTheOtherServer() {
-            upload();
+            sendUpload();
             proxy.endAttempt("up", Outcome.CONNECT_FAILED);
             assertEquals(2, proxy.attemptCounts.get("up"));
         }
 
         @Test
         void serverOfAStreamedAnswerCountsAsIdleAndTheAnswerNeverTimesOut() {
-            learn();
+            serveCallsToMeasureDurations();
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
             String server = proxy.latestServer(request);
             proxy.advanceMs(50);
             proxy.logic.streamStarted(proxy.nowUs, request, 0, server, 50 * US_PER_MS);
-            Set<String> taken = twoMore();
-            assertEquals(Set.of("a", "b"), taken);
+            Set<String> usedServers = serversOfTwoMoreRequests();
+            assertEquals(Set.of("a", "b"), usedServers);
             proxy.advanceMs(60_000);
             assertEquals(1, proxy.attemptCounts.get(request));
             proxy.endAttempt(request, Outcome.RESET);
