--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -10,21 +10,22 @@
 /** The cost of choosing a server does not grow with the number of servers. */
 class ChoiceCostTest {
 
-    private static final int REQUESTS = 300;
-    private static final int FIRST_REQUESTS = 50;
+    private static final int MEASURED_REQUESTS = 300;
+    private static final int WARM_UP_REQUESTS = 50;
     /**
      * Upper bound on the servers examined for a call. A call with probes examines the servers found idle, the
      * candidates for the next probe and the candidates for the call; each of these searches ends early.
      */
-    private static final int MOST_LOOKS = 12;
+    private static final int MAX_SERVERS_EXAMINED_PER_CALL = 12;
 
     /** Sends a request, answers its probes with a load of 0 and ends its attempt successfully after 50 ms. */
-    private static void serve(SimulatedProxy proxy) {
-        int before = proxy.recordedActions.size();
+    private static void serveRequest(SimulatedProxy proxy) {
+        int actionsBefore = proxy.recordedActions.size();
         String request = proxy.sendRequest(SimulatedProxy.SAFE);
-        for (String line : List.copyOf(proxy.recordedActions.subList(before, proxy.recordedActions.size()))) {
-            if (line.startsWith("probe ")) {
-                proxy.answerProbe(line.substring("probe ".length()), 0);
+        for (String action : List.copyOf(
+                proxy.recordedActions.subList(actionsBefore, proxy.recordedActions.size()))) {
+            if (action.startsWith("probe ")) {
+                proxy.answerProbe(action.substring("probe ".length()), 0);
             }
         }
         proxy.advanceMs(50);
@@ -33,22 +34,21 @@
 
     @ParameterizedTest
     @CsvSource({"30,5,false", "3200,5,false", "3200,5,true", "3200,640,false", "3200,640,true"})
-    void choosingAServerExaminesABoundedNumberOfServers(int servers, int copies, boolean probes) {
+    void choosingAServerExaminesABoundedNumberOfServers(int servers, int copies, boolean canProbe) {
         SimulatedProxy.TestSettings settings = new SimulatedProxy.TestSettings();
         settings.copies = copies;
-        settings.canProbe = probes;
-        SimulatedProxy proxy = new SimulatedProxy(settings).withServers(IntStream.range(0,
-                servers).mapToObj(i -> "s" + i)
-                .toArray(String[]::new));
-        for (int i = 0; i < FIRST_REQUESTS; i++) {
-            serve(proxy);
+        settings.canProbe = canProbe;
+        SimulatedProxy proxy = new SimulatedProxy(settings).withServers(IntStream.range(0, servers)
+                .mapToObj(i -> "s" + i).toArray(String[]::new));
+        for (int i = 0; i < WARM_UP_REQUESTS; i++) {
+            serveRequest(proxy);
         }
-        long before = proxy.logic.serversExamined();
-        for (int i = 0; i < REQUESTS; i++) {
-            serve(proxy);
+        long examinedBefore = proxy.logic.serversExamined();
+        for (int i = 0; i < MEASURED_REQUESTS; i++) {
+            serveRequest(proxy);
         }
-        long looks = proxy.logic.serversExamined() - before;
-        assertTrue(looks <= (long) MOST_LOOKS * REQUESTS, looks + " servers examined for " + REQUESTS
-                + " calls");
+        long examined = proxy.logic.serversExamined() - examinedBefore;
+        assertTrue(examined <= (long) MAX_SERVERS_EXAMINED_PER_CALL * MEASURED_REQUESTS,
+                examined + " servers examined for " + MEASURED_REQUESTS + " calls");
     }
 }
--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -32,114 +32,115 @@
  */
 final class ColdServerFleet {
 
-    static final long SECOND_US = 1_000_000;
-    private static final long MS = 1_000;
+    static final long US_PER_S = 1_000_000;
+    private static final long US_PER_MS = 1_000;
     /** Time from the start of a server until it reaches its full capacity. */
-    private static final long COLD_US = 20 * SECOND_US;
+    private static final long COLD_PERIOD_US = 20 * US_PER_S;
     /** Share of its capacity that a server has at its start. */
-    private static final double COLD_FROM = 0.15;
+    private static final double COLD_START_SHARE = 0.15;
     /** The budget of a cold server is this multiple of the work that it can do. */
-    private static final double TIP_MULTIPLE = 3;
+    private static final double BUDGET_MULTIPLE = 3;
     /** Length of the sliding window over which the work sent to a cold server is summed. */
-    private static final long WINDOW_US = 1_500 * MS;
-    private static final long BEGIN_US = 1_000 * SECOND_US;
-    private static final long BURST_US = BEGIN_US + 15 * SECOND_US;
-    private static final long END_US = BURST_US + COLD_US + 3 * SECOND_US;
-    private static final long AIM_US = 600 * MS;
-    private static final long DEADLINE_US = 1_500 * MS;
+    private static final long WINDOW_US = 1_500 * US_PER_MS;
+    private static final long START_US = 1_000 * US_PER_S;
+    private static final long BURST_START_US = START_US + 15 * US_PER_S;
+    private static final long END_US = BURST_START_US + COLD_PERIOD_US + 3 * US_PER_S;
+    private static final long AIM_US = 600 * US_PER_MS;
+    private static final long DEADLINE_US = 1_500 * US_PER_MS;
     /** Maximum delay until a copy receives a change of the list. */
-    private static final long LIST_DELAY_US = SECOND_US;
+    private static final long MAX_LIST_DELAY_US = US_PER_S;
     /** Time before the burst at which the servers that return cold are stopped. */
-    private static final long DOWN_US = 5 * SECOND_US;
+    private static final long DOWNTIME_US = 5 * US_PER_S;
     /** One-way network delay. */
-    private static final long NETWORK_US = MS / 2;
+    private static final long NETWORK_DELAY_US = US_PER_MS / 2;
     /** Requests that wait at a server at most, besides the one being processed. */
-    private static final int QUEUE = 8;
+    private static final int MAX_QUEUED_REQUESTS = 8;
     /** Low enough that copies probe servers before a call, where probes are allowed. */
     private static final double PROBE_PRICE = 0.002;
 
     /**
      * Parameters of a simulation.
      *
-     * @param traffic relative share of the traffic of each copy, by copy number
+     * @param trafficShares relative share of the traffic of each copy, by copy number
      * @param servers number of servers at the start
      * @param joining number of new servers that join during the burst
      * @param returning number of the initial servers that restart cold during the burst
-     * @param capacity requests of mean work that a warm server processes per second
+     * @param capacityPerSecond requests of mean work that a warm server processes per second
      * @param load traffic before the burst, as a share of the capacity of all servers
-     * @param burst factor by which the traffic is multiplied from the burst on
-     * @param probes whether copies may probe servers
+     * @param burstFactor factor by which the traffic is multiplied from the burst on
+     * @param canProbe whether copies may probe servers
      */
-    record Scenario(double[] traffic, int servers, int joining, int returning, double capacity, double load,
-            double burst, boolean probes) {
+    record Scenario(double[] trafficShares, int servers, int joining, int returning, double capacityPerSecond,
+            double load, double burstFactor, boolean canProbe) {
 
         /** Describes the scenario in the names of tests. */
         @Override
         public String toString() {
-            return traffic.length + (traffic[0] == traffic[1] ? " copies" : " unequal copies") + ", "
-                    + joining + " servers join " + servers + ", " + returning + " return, " + capacity
-                    + " requests/s each, burst " + burst + (probes ? ", probes" : ", no probes");
+            return trafficShares.length
+                    + (trafficShares[0] == trafficShares[1] ? " copies" : " unequal copies") + ", "
+                    + joining + " servers join " + servers + ", " + returning + " return, "
+                    + capacityPerSecond + " requests/s each, burst " + burstFactor
+                    + (canProbe ? ", probes" : ", no probes");
         }
 
         /** Returns traffic shares where every sixth copy gets ten times the traffic of each other copy. */
-        static double[] unequal(int copies) {
-            double[] traffic = new double[copies];
+        static double[] unequalShares(int copies) {
+            double[] trafficShares = new double[copies];
             for (int i = 0; i < copies; i++) {
-                traffic[i] = i % 6 == 0 ? 10 : 1;
+                trafficShares[i] = i % 6 == 0 ? 10 : 1;
             }
-            return traffic;
+            return trafficShares;
         }
 
         /** Returns equal traffic shares for all copies. */
-        static double[] equal(int copies) {
-            double[] traffic = new double[copies];
-            Arrays.fill(traffic, 1);
-            return traffic;
+        static double[] equalShares(int copies) {
+            double[] trafficShares = new double[copies];
+            Arrays.fill(trafficShares, 1);
+            return trafficShares;
         }
     }
 
     /** Work of one attempt, in multiples of the mean work, and the time at which it was sent. */
-    private record Sent(long atUs, double work) { }
+    private record SentWork(long atUs, double work) { }
 
     /**
      * Load of one cold server.
      *
-     * @param mostSent work sent to it in the window with the highest ratio of work sent to work allowed
+     * @param maxSentInWindow work sent in the window that has the highest ratio of sent work to allowed work
      * @param budget budget of the server in that window
-     * @param afterUs time from the server's start to the end of that window
-     * @param sentFirst work sent to it in the first half of its cold time
-     * @param doneFirst work that it could do in that half
+     * @param windowEndAfterStartUs time from the server's start to the end of that window
+     * @param sentInFirstHalf work sent to it in the first half of its cold time
+     * @param possibleInFirstHalf work that it could do in that half
      */
-    record Verdict(String server, double mostSent, double budget, long afterUs, double sentFirst,
-            double doneFirst) {
-
-        /**
-         * Returns the maximum work allowed in the window: the budget and a tolerance for random variation.
-         */
-        double allowed() {
-            return ColdServerFleet.allowed(budget);
+    record ColdServerLoad(String server, double maxSentInWindow, double budget, long windowEndAfterStartUs,
+            double sentInFirstHalf, double possibleInFirstHalf) {
+
+        /** Returns the maximum work allowed in the window, with a tolerance for random variation. */
+        double allowedInWindow() {
+            return ColdServerFleet.allowedForBudget(budget);
         }
 
         @Override
         public String toString() {
             return String.format("%s: maximum work in a window %.1f, budget %.1f, allowed %.1f, %.1f s after"
                     + " its start; first half of its cold time: %.0f sent, %.0f possible",
-                    server, mostSent, budget, allowed(), afterUs / (double) SECOND_US, sentFirst, doneFirst);
+                    server, maxSentInWindow, budget, allowedInWindow(),
+                    windowEndAfterStartUs / (double) US_PER_S, sentInFirstHalf, possibleInFirstHalf);
         }
     }
 
     /** A scheduled event; events of the same time run in the order in which they were scheduled. */
-    private record Due(long atUs, long order, Runnable event) { }
+    private record ScheduledEvent(long atUs, long sequence, Runnable event) { }
 
     private final Scenario scenario;
     private final SplittableRandom random;
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.atUs() != b.atUs()
-            ? Long.compare(a.atUs(), b.atUs()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<ScheduledEvent> schedule = new PriorityQueue<>((a, b) -> a.atUs() != b.atUs()
+            ? Long.compare(a.atUs(), b.atUs()) : Long.compare(a.sequence(), b.sequence()));
     private final Map<String, Worker> workers = new HashMap<>();
     private final List<Copy> copies = new ArrayList<>();
-    private long now = BEGIN_US;
-    private long order;
-    private int asked;
+    private long nowUs = START_US;
+    private long nextSequence;
+    private int requestCount;
 
     private ColdServerFleet(Scenario scenario, long seed) {
         this.scenario = scenario;
@@ -147,10 +148,11 @@
     }
 
     /** Runs the scenario and returns the load of each server that was cold during it. */
-    static List<Verdict> play(Scenario scenario, long seed) {
+    static List<ColdServerLoad> simulate(Scenario scenario, long seed) {
         ColdServerFleet fleet = new ColdServerFleet(scenario, seed);
         fleet.run();
-        return fleet.workers.values().stream().filter(w -> w.startedAtUs > 0).map(Worker::verdict).toList();
+        return fleet.workers.values().stream().filter(worker -> worker.startedAtUs > 0)
+                .map(Worker::coldServerLoad).toList();
     }
 
     private void run() {
@@ -158,187 +160,193 @@
         for (int i = 0; i < scenario.servers(); i++) {
             Worker worker = new Worker("s" + i);
             workers.put(worker.id, worker);
-            list.add(worker.line(ServerStatus.UP));
+            list.add(worker.listEntry(ServerStatus.UP));
         }
-        double all = Arrays.stream(scenario.traffic()).sum();
-        for (int i = 0; i < scenario.traffic().length; i++) {
-            Copy copy = new Copy(i, scenario.traffic()[i] / all);
+        double totalTraffic = Arrays.stream(scenario.trafficShares()).sum();
+        for (int i = 0; i < scenario.trafficShares().length; i++) {
+            Copy copy = new Copy(i, scenario.trafficShares()[i] / totalTraffic);
             copies.add(copy);
-            copy.logic.serversChanged(now, ListKind.REMEMBERED, list);
-            at(copy.nextArrivalUs(), copy::arrive);
+            copy.logic.serversChanged(nowUs, ListKind.REMEMBERED, list);
+            scheduleAt(copy.nextArrivalUs(), copy::arrive);
         }
         for (int i = 0; i < scenario.returning(); i++) {
             Worker worker = workers.get("s" + i);
-            at(BURST_US - DOWN_US, () -> stop(worker));
-            at(BURST_US + random.nextLong(SECOND_US), () -> start(worker));
+            scheduleAt(BURST_START_US - DOWNTIME_US, () -> stop(worker));
+            scheduleAt(BURST_START_US + random.nextLong(US_PER_S), () -> start(worker));
         }
         for (int i = 0; i < scenario.joining(); i++) {
             Worker worker = new Worker("new" + i);
-            at(BURST_US + random.nextLong(SECOND_US), () -> start(worker));
+            scheduleAt(BURST_START_US + random.nextLong(US_PER_S), () -> start(worker));
         }
-        while (due.peek().atUs() < END_US) {
-            Due next = due.poll();
-            now = Math.max(now, next.atUs());
+        while (schedule.peek().atUs() < END_US) {
+            ScheduledEvent next = schedule.poll();
+            nowUs = Math.max(nowUs, next.atUs());
             next.event().run();
         }
     }
 
-    private void at(long atUs, Runnable event) {
-        due.add(new Due(atUs, order++, event));
+    private void scheduleAt(long atUs, Runnable event) {
+        schedule.add(new ScheduledEvent(atUs, nextSequence++, event));
     }
 
     private void stop(Worker worker) {
-        worker.up = false;
-        worker.drop();
-        tell(worker.line(ServerStatus.GONE));
+        worker.isUp = false;
+        worker.dropQueue();
+        publishChange(worker.listEntry(ServerStatus.GONE));
     }
 
     private void start(Worker worker) {
         workers.put(worker.id, worker);
-        worker.up = true;
-        worker.startedAtUs = now;
-        tell(worker.line(ServerStatus.UP));
+        worker.isUp = true;
+        worker.startedAtUs = nowUs;
+        publishChange(worker.listEntry(ServerStatus.UP));
     }
 
     /** Delivers a change of the list to each copy after a random delay of its own. */
-    private void tell(Server line) {
+    private void publishChange(Server change) {
         for (Copy copy : copies) {
-            at(now + random.nextLong(LIST_DELAY_US), () -> {
-                if (line.startedAtUs() > 0) {
-                    copy.told.add(line.id());
+            scheduleAt(nowUs + random.nextLong(MAX_LIST_DELAY_US), () -> {
+                if (change.startedAtUs() > 0) {
+                    copy.knownStarts.add(change.id());
                 }
-                copy.logic.serversChanged(now, ListKind.CHANGES, List.of(line));
+                copy.logic.serversChanged(nowUs, ListKind.CHANGES, List.of(change));
             });
         }
     }
 
     /** Returns the share of its full capacity that a server has at a time; 0 as start means a warm server. */
-    private static double share(long startedAtUs, long nowUs) {
+    private static double capacityShare(long startedAtUs, long nowUs) {
         return startedAtUs == 0 ? 1
-                : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (nowUs - startedAtUs) / COLD_US);
+                : Math.min(1, COLD_START_SHARE
+                + (1 - COLD_START_SHARE) * (nowUs - startedAtUs) / COLD_PERIOD_US);
     }
 
-    /** Adds two standard deviations of a Poisson variable, and 2, to the budget. */
-    private static double allowed(double budget) {
+    /** Returns the budget plus two standard deviations of a Poisson variable with that mean, plus 2. */
+    private static double allowedForBudget(double budget) {
         return budget + 2 * Math.sqrt(budget) + 2;
     }
 
     /** A server with one worker; it rejects requests while its queue is full. */
     private final class Worker {
         final String id;
-        final ArrayDeque<Try> queue = new ArrayDeque<>();
-        final List<Sent> sentCold = new ArrayList<>();
+        final ArrayDeque<Attempt> queue = new ArrayDeque<>();
+        final List<SentWork> sentWhileCold = new ArrayList<>();
         long startedAtUs;
-        boolean up = true;
+        boolean isUp = true;
 
         Worker(String id) {
             this.id = id;
         }
 
-        Server line(ServerStatus status) {
+        /** Returns this server as an entry of the list of servers. */
+        Server listEntry(ServerStatus status) {
             return new Server(id, startedAtUs, 0, 0, 1, status);
         }
 
-        LoadReport report() {
+        LoadReport loadReport() {
             return new LoadReport(queue.size(), Math.max(0, queue.size() - 1), queue.isEmpty() ? 0 : 1);
         }
 
-        void take(Try attempt) {
-            if (!up) {
+        void receive(Attempt attempt) {
+            if (!isUp) {
                 attempt.end(Outcome.CONNECT_FAILED);
-            } else if (queue.size() > QUEUE) {
+            } else if (queue.size() > MAX_QUEUED_REQUESTS) {
                 attempt.end(Outcome.FULL);
             } else {
                 queue.add(attempt);
                 if (queue.size() == 1) {
-                    work();
+                    startNext();
                 }
             }
         }
 
-        private void work() {
-            Try attempt = queue.peek();
-            double seconds = attempt.work / scenario.capacity() / share(startedAtUs, now);
-            at(now + (long) (seconds * SECOND_US), () -> {
+        private void startNext() {
+            Attempt attempt = queue.peek();
+            double seconds = attempt.work / scenario.capacityPerSecond() / capacityShare(startedAtUs, nowUs);
+            scheduleAt(nowUs + (long) (seconds * US_PER_S), () -> {
                 if (queue.peek() == attempt) {
                     queue.poll();
                     attempt.end(Outcome.OK);
                     if (!queue.isEmpty()) {
-                        work();
+                        startNext();
                     }
                 }
             });
         }
 
-        void drop() {
-            List<Try> held = List.copyOf(queue);
+        void dropQueue() {
+            List<Attempt> dropped = List.copyOf(queue);
             queue.clear();
-            held.forEach(attempt -> attempt.end(Outcome.RESET));
+            dropped.forEach(attempt -> attempt.end(Outcome.RESET));
         }
 
         /** Checks every window that ends at an attempt against the work allowed at the window's start. */
-        Verdict verdict() {
-            double within = 0;
-            double most = 0;
+        ColdServerLoad coldServerLoad() {
+            double sentInWindow = 0;
+            double maxSentInWindow = 0;
             double budget = 0;
-            long endUs = startedAtUs;
-            int oldest = 0;
-            for (Sent sent : sentCold) {
-                within += sent.work();
-                while (sentCold.get(oldest).atUs() <= sent.atUs() - WINDOW_US) {
-                    within -= sentCold.get(oldest++).work();
+            long windowEndUs = startedAtUs;
+            int windowStartIndex = 0;
+            for (SentWork sent : sentWhileCold) {
+                sentInWindow += sent.work();
+                while (sentWhileCold.get(windowStartIndex).atUs() <= sent.atUs() - WINDOW_US) {
+                    sentInWindow -= sentWhileCold.get(windowStartIndex++).work();
                 }
-                long fromUs = Math.max(startedAtUs, sent.atUs() - WINDOW_US);
-                double n = TIP_MULTIPLE * share(startedAtUs, fromUs) * done(WINDOW_US);
-                if (within / allowed(n) > most / allowed(budget)) {
-                    most = within;
-                    budget = n;
-                    endUs = sent.atUs();
+                long windowStartUs = Math.max(startedAtUs, sent.atUs() - WINDOW_US);
+                double windowBudget =
+                        BUDGET_MULTIPLE * capacityShare(startedAtUs, windowStartUs) * possibleWork(WINDOW_US);
+                if (sentInWindow / allowedForBudget(windowBudget)
+                        > maxSentInWindow / allowedForBudget(budget)) {
+                    maxSentInWindow = sentInWindow;
+                    budget = windowBudget;
+                    windowEndUs = sent.atUs();
                 }
             }
-            double first = sentCold.stream().filter(s -> s.atUs() < startedAtUs + COLD_US / 2)
-                    .mapToDouble(Sent::work).sum();
-            double meanShare = share(startedAtUs, startedAtUs + COLD_US / 4);
-            return new Verdict(id, most, budget, endUs - startedAtUs, first, meanShare * done(COLD_US / 2));
+            double sentInFirstHalf =
+                    sentWhileCold.stream().filter(sent -> sent.atUs() < startedAtUs + COLD_PERIOD_US / 2)
+                    .mapToDouble(SentWork::work).sum();
+            double meanShare = capacityShare(startedAtUs, startedAtUs + COLD_PERIOD_US / 4);
+            return new ColdServerLoad(id, maxSentInWindow, budget, windowEndUs - startedAtUs, sentInFirstHalf,
+                    meanShare * possibleWork(COLD_PERIOD_US / 2));
         }
 
         /** Returns the work that a warm server does in a period of time. */
-        private double done(long us) {
-            return scenario.capacity() * us / SECOND_US;
+        private double possibleWork(long durationUs) {
+            return scenario.capacityPerSecond() * durationUs / US_PER_S;
         }
     }
 
     /** One attempt of a request. */
-    private final class Try {
+    private final class Attempt {
         final Copy copy;
         final String request;
-        final int number;
+        final int attemptNumber;
         final Worker worker;
         final double work;
-        final long sentAtUs = now;
-        boolean out = true;
+        final long sentAtUs = nowUs;
+        boolean isInFlight = true;
 
-        Try(Copy copy, String request, int number, Worker worker, double work) {
+        Attempt(Copy copy, String request, int attemptNumber, Worker worker, double work) {
             this.copy = copy;
             this.request = request;
-            this.number = number;
+            this.attemptNumber = attemptNumber;
             this.worker = worker;
             this.work = work;
         }
 
         void end(Outcome outcome) {
-            at(now + NETWORK_US, () -> tell(outcome));
+            scheduleAt(nowUs + NETWORK_DELAY_US, () -> reportOutcome(outcome));
         }
 
-        void tell(Outcome outcome) {
-            if (out) {
-                out = false;
-                boolean ended = outcome == Outcome.OK || copy.over.contains(request);
-                if (ended) {
-                    copy.over.add(request);
+        void reportOutcome(Outcome outcome) {
+            if (isInFlight) {
+                isInFlight = false;
+                boolean hasEnded = outcome == Outcome.OK || copy.endedRequests.contains(request);
+                if (hasEnded) {
+                    copy.endedRequests.add(request);
                 }
-                copy.logic.outcome(now, request, number, worker.id, outcome, now - sentAtUs, ended,
-                        outcome == Outcome.OK ? worker.report() : null);
+                copy.logic.outcome(nowUs, request, attemptNumber, worker.id, outcome, nowUs - sentAtUs,
+                        hasEnded, outcome == Outcome.OK ? worker.loadReport() : null);
             }
         }
     }
@@ -346,77 +354,80 @@
     /** One copy of the decision module with its share of the traffic. */
     private final class Copy implements Actions {
         final Logic logic;
-        final double part;
-        final Map<String, Double> work = new HashMap<>();
-        final Map<String, List<Try>> tries = new HashMap<>();
-        final Set<String> over = new HashSet<>();
+        final double trafficShare;
+        final Map<String, Double> workByRequest = new HashMap<>();
+        final Map<String, List<Attempt>> attemptsByRequest = new HashMap<>();
+        final Set<String> endedRequests = new HashSet<>();
         /** Servers whose start this copy has received in the list. */
-        final Set<String> told = new HashSet<>();
+        final Set<String> knownStarts = new HashSet<>();
 
-        Copy(int number, double part) {
-            this.part = part;
-            RequestClass read =
+        Copy(int copyNumber, double trafficShare) {
+            this.trafficShare = trafficShare;
+            RequestClass readClass =
                     new RequestClass("read", AIM_US, DEADLINE_US, 1, 0, Effect.SAFE, DedupGroup.ALL, 0);
-            Limits limits = new Limits(3, true, scenario.probes(), true, 0);
-            Rules rules = new Rules(SECOND_US, 0, COLD_FROM, COLD_US, TIP_MULTIPLE);
-            logic = new Logic(new Settings(List.of(read), List.of(), limits, rules, PROBE_PRICE, 0, 0, number,
-                    scenario.traffic().length, 0, 2, false, 1, MS), random.nextLong(), this);
+            Limits limits = new Limits(3, true, scenario.canProbe(), true, 0);
+            Rules rules = new Rules(US_PER_S, 0, COLD_START_SHARE, COLD_PERIOD_US, BUDGET_MULTIPLE);
+            logic = new Logic(new Settings(List.of(readClass), List.of(), limits, rules, PROBE_PRICE, 0, 0,
+                    copyNumber, scenario.trafficShares().length, 0, 2, false, 1, US_PER_MS),
+                    random.nextLong(), this);
         }
 
         long nextArrivalUs() {
-            double perSecond = part * scenario.load() * scenario.servers() * scenario.capacity()
-                    * (now >= BURST_US ? scenario.burst() : 1);
-            return now + (long) (-Math.log(1 - random.nextDouble()) / perSecond * SECOND_US);
+            double requestsPerSecond =
+                    trafficShare * scenario.load() * scenario.servers() * scenario.capacityPerSecond()
+                    * (nowUs >= BURST_START_US ? scenario.burstFactor() : 1);
+            return nowUs + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * US_PER_S);
         }
 
         void arrive() {
-            String id = "r" + asked++;
+            String id = "r" + requestCount++;
             // Half constant and half exponentially distributed, which spreads like real work.
-            work.put(id, 0.5 - 0.5 * Math.log(1 - random.nextDouble()));
-            at(nextArrivalUs(), this::arrive);
-            logic.request(now, new Request(id, 0, 0, DEADLINE_US, 0, false));
+            workByRequest.put(id, 0.5 - 0.5 * Math.log(1 - random.nextDouble()));
+            scheduleAt(nextArrivalUs(), this::arrive);
+            logic.request(nowUs, new Request(id, 0, 0, DEADLINE_US, 0, false));
         }
 
         @Override
         public void send(String request, String server, long timeoutUs) {
             Worker worker = workers.get(server);
-            List<Try> all = tries.computeIfAbsent(request, r -> new ArrayList<>());
-            Try attempt = new Try(this, request, all.size(), worker, work.get(request));
-            all.add(attempt);
-            if (share(worker.startedAtUs, now) < 1 && told.contains(server)) {
-                worker.sentCold.add(new Sent(now, attempt.work));
+            List<Attempt> attempts = attemptsByRequest.computeIfAbsent(request, key -> new ArrayList<>());
+            Attempt attempt = new Attempt(this, request, attempts.size(), worker, workByRequest.get(request));
+            attempts.add(attempt);
+            if (capacityShare(worker.startedAtUs, nowUs) < 1 && knownStarts.contains(server)) {
+                worker.sentWhileCold.add(new SentWork(nowUs, attempt.work));
             }
-            at(now + NETWORK_US, () -> worker.take(attempt));
-            at(now + timeoutUs, () -> attempt.tell(Outcome.TIMEOUT));
+            scheduleAt(nowUs + NETWORK_DELAY_US, () -> worker.receive(attempt));
+            scheduleAt(nowUs + timeoutUs, () -> attempt.reportOutcome(Outcome.TIMEOUT));
         }
 
         @Override
         public void refuse(String request, long retryAfterUs) {
-            over.add(request);
+            endedRequests.add(request);
         }
 
         @Override
         public void fail(String request) {
-            over.add(request);
+            endedRequests.add(request);
         }
 
         @Override
         public void cancel(String request, int attempt) {
-            at(now + NETWORK_US, () -> tries.get(request).get(attempt).tell(Outcome.CANCELLED));
+            scheduleAt(nowUs + NETWORK_DELAY_US,
+                    () -> attemptsByRequest.get(request).get(attempt).reportOutcome(Outcome.CANCELLED));
         }
 
         @Override
         public void probe(String server) {
             Worker worker = workers.get(server);
-            long askedAtUs = now;
-            at(now + 2 * NETWORK_US, () -> logic.probeResult(now, server,
-                    worker.up ? Outcome.OK : Outcome.CONNECT_FAILED, now - askedAtUs,
-                    worker.up ? worker.report() : null));
+            long probedAtUs = nowUs;
+            scheduleAt(nowUs + 2 * NETWORK_DELAY_US, () -> logic.probeResult(nowUs, server,
+                    worker.isUp ? Outcome.OK : Outcome.CONNECT_FAILED, nowUs - probedAtUs,
+                    worker.isUp ? worker.loadReport() : null));
         }
 
         @Override
         public void wakeAt(long atUs) {
-            at(Math.max(atUs, now + MS), () -> logic.timer(now));
+            scheduleAt(Math.max(atUs, nowUs + US_PER_MS), () -> logic.timer(nowUs));
         }
 
         @Override
--- a/src/test/java/larkworks/ColdServerFleetTest.java
+++ b/src/test/java/larkworks/ColdServerFleetTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
+import larkworks.ColdServerFleet.ColdServerLoad;
 import larkworks.ColdServerFleet.Scenario;
-import larkworks.ColdServerFleet.Verdict;
 import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
@@ -22,48 +22,52 @@
 
     private static final int SEEDS = 6;
     /** Traffic before the burst, as a share of the capacity of all servers. */
-    private static final double LOAD = 0.7;
+    private static final double LOAD_BEFORE_BURST = 0.7;
     /** Minimum share of the work that a server can do in the first half of its cold time that it must get. */
-    private static final double LEAST_USE = 0.2;
+    private static final double MIN_USED_SHARE = 0.2;
 
-    static Stream<Arguments> fleets() {
-        List<Arguments> all = new ArrayList<>();
-        double[][] traffics = {
-            Scenario.unequal(30), Scenario.unequal(20), Scenario.equal(30), Scenario.equal(4),
-            Scenario.equal(2), {4, 1}};
-        for (double[] traffic : traffics) {
-            for (double capacity : new double[] {5, 60}) {
-                for (double burst : new double[] {1.5, 2.2}) {
-                    for (boolean probes : new boolean[] {true, false}) {
-                        all.add(Arguments.of(new Scenario(traffic, 12, 4, 2, capacity, LOAD, burst, probes)));
+    static Stream<Arguments> scenarios() {
+        List<Arguments> scenarios = new ArrayList<>();
+        double[][] trafficSharesOfScenarios = {
+            Scenario.unequalShares(30), Scenario.unequalShares(20), Scenario.equalShares(30),
+            Scenario.equalShares(4), Scenario.equalShares(2), {4, 1}};
+        for (double[] trafficShares : trafficSharesOfScenarios) {
+            for (double capacityPerSecond : new double[] {5, 60}) {
+                for (double burstFactor : new double[] {1.5, 2.2}) {
+                    for (boolean canProbe : new boolean[] {true, false}) {
+                        scenarios.add(Arguments.of(new Scenario(trafficShares, 12, 4, 2, capacityPerSecond,
+                                LOAD_BEFORE_BURST, burstFactor, canProbe)));
                     }
                 }
             }
         }
         // So many copies that each sends a cold server less than one call per window on average.
         for (int copies : new int[] {60, 100, 200}) {
-            for (double capacity : new double[] {20, 60}) {
-                for (double burst : new double[] {1.5, 2.2}) {
-                    all.add(Arguments.of(new Scenario(Scenario.equal(copies), 12, 4, 2, capacity, LOAD, burst,
-                            false)));
+            for (double capacityPerSecond : new double[] {20, 60}) {
+                for (double burstFactor : new double[] {1.5, 2.2}) {
+                    scenarios.add(Arguments.of(new Scenario(Scenario.equalShares(copies), 12, 4, 2,
+                            capacityPerSecond, LOAD_BEFORE_BURST, burstFactor, false)));
                 }
             }
         }
         // More cold servers than warm ones.
-        all.add(Arguments.of(new Scenario(Scenario.unequal(30), 10, 8, 5, 20, LOAD, 1.5, true)));
-        all.add(Arguments.of(new Scenario(Scenario.unequal(30), 10, 8, 5, 20, LOAD, 1.5, false)));
-        return all.stream();
+        scenarios.add(Arguments.of(new Scenario(Scenario.unequalShares(30), 10, 8, 5, 20, LOAD_BEFORE_BURST,
+                1.5, true)));
+        scenarios.add(Arguments.of(new Scenario(Scenario.unequalShares(30), 10, 8, 5, 20, LOAD_BEFORE_BURST,
+                1.5, false)));
+        return scenarios.stream();
     }
 
     @ParameterizedTest
-    @MethodSource("fleets")
+    @MethodSource("scenarios")
     void allCopiesTogetherStayWithinTheBudgetOfAColdServer(Scenario scenario) {
         List<Executable> checks = new ArrayList<>();
         for (int seed = 0; seed < SEEDS; seed++) {
-            for (Verdict verdict : ColdServerFleet.play(scenario, seed)) {
-                String what = "seed " + seed + ", " + verdict;
-                checks.add(() -> assertTrue(verdict.mostSent() < verdict.allowed(), what));
-                checks.add(() -> assertTrue(verdict.sentFirst() > LEAST_USE * verdict.doneFirst(), what));
+            for (ColdServerLoad load : ColdServerFleet.simulate(scenario, seed)) {
+                String description = "seed " + seed + ", " + load;
+                checks.add(() -> assertTrue(load.maxSentInWindow() < load.allowedInWindow(), description));
+                checks.add(() -> assertTrue(
+                        load.sentInFirstHalf() > MIN_USED_SHARE * load.possibleInFirstHalf(), description));
             }
         }
         assertAll(checks);
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -602,8 +602,8 @@
             }
             assertTrue(coldServerCalls > 0, "a cold server must get some work");
             assertTrue(coldServerCalls < 0.6 * warmServerCalls / 4,
-                    coldServerCalls + " calls to the cold server, " + warmServerCalls / 4
-                    + " to each warm server");
+                    coldServerCalls + " calls to the cold server, "
+                    + warmServerCalls / 4 + " to each warm server");
         }
 
         @Test
@@ -1092,8 +1092,7 @@
                     String nextBlockingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
                     assertEquals(idleServer, proxy.latestServer(nextBlockingRequest));
                     proxy.logic.outcome(proxy.nowUs, blockingRequest, 0, proxy.latestServer(blockingRequest),
-                            Outcome.OK,
-                            30 * US_PER_MS, true, null);
+                            Outcome.OK, 30 * US_PER_MS, true, null);
                     idleServer = proxy.latestServer(blockingRequest);
                     blockingRequest = nextBlockingRequest;
                 }
@@ -1278,8 +1277,7 @@
             String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE);
             proxy.advanceMs(410);
             proxy.logic.outcome(proxy.nowUs, firstRequest, 0, proxy.latestServer(firstRequest), Outcome.OK,
-                    410 * US_PER_MS,
-                    true, null);
+                    410 * US_PER_MS, true, null);
             proxy.advanceMs(1_000);
             for (int i = 0; i < 5; i++) {
                 assertNotNull(proxy.serveRequest(),
--- a/src/test/java/larkworks/ModuleShapeTest.java
+++ b/src/test/java/larkworks/ModuleShapeTest.java
@@ -21,44 +21,46 @@
  */
 class ModuleShapeTest {
 
-    private static final Path FOLDER = Path.of("src/main/java/larkworks");
+    private static final Path MODULE_DIRECTORY = Path.of("src/main/java/larkworks");
     /** Types and checks that the callers of the decision module share with it; they make no decisions. */
-    private static final Set<String> SHARED = Set.of("Balancer.java", "SettingsCheck.java",
+    private static final Set<String> SHARED_FILES = Set.of("Balancer.java", "SettingsCheck.java",
             "package-info.java");
-    private static final int MOST_LINES = 1_200;
-    private static final Pattern OUTSIDE = Pattern.compile("java\\.(io|nio|net|time)|io\\.netty|org\\.slf4j"
+    private static final int MAX_NON_BLANK_LINES = 1_200;
+    private static final Pattern FORBIDDEN_DEPENDENCIES =
+            Pattern.compile("java\\.(io|nio|net|time)|io\\.netty|org\\.slf4j"
             + "|\\bSystem\\.|\\bThread\\b|Math\\.random|larkworks\\.[a-z]+\\.");
 
-    private static List<Path> named() throws IOException {
+    private static List<Path> listedInDeployFile() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
-        return Pattern.compile("\"([^\"]+)\"").matcher(policy).results().map(found -> Path.of(found.group(1)))
+        return Pattern.compile("\"([^\"]+)\"").matcher(policy).results().map(match -> Path.of(match.group(1)))
                 .toList();
     }
 
     @Test
     void deployFileListsAllSourceFilesOfTheDecisionModule() throws IOException {
-        try (Stream<Path> files = Files.list(FOLDER)) {
-            Set<Path> deciding = files.filter(Files::isRegularFile)
-                    .filter(file -> !SHARED.contains(file.getFileName().toString()))
+        try (Stream<Path> files = Files.list(MODULE_DIRECTORY)) {
+            Set<Path> moduleFiles = files.filter(Files::isRegularFile)
+                    .filter(file -> !SHARED_FILES.contains(file.getFileName().toString()))
                     .collect(Collectors.toCollection(TreeSet::new));
-            assertEquals(deciding, new TreeSet<>(named()));
+            assertEquals(moduleFiles, new TreeSet<>(listedInDeployFile()));
         }
     }
 
     @Test
     void noSourceFileExceedsTheMaximumLength() throws IOException {
-        for (Path file : named()) {
+        for (Path file : listedInDeployFile()) {
             long lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
-            assertTrue(lines > 0 && lines <= MOST_LINES, file + " has " + lines + " non-blank lines");
+            assertTrue(lines > 0 && lines <= MAX_NON_BLANK_LINES,
+                    file + " has " + lines + " non-blank lines");
         }
     }
 
     @Test
     void decisionModuleUsesNoInputOutputAndNoClock() throws IOException {
-        for (Path file : named()) {
-            Matcher found = OUTSIDE.matcher(Files.readString(file));
-            assertFalse(found.find(), () -> file + " uses " + found.group());
+        for (Path file : listedInDeployFile()) {
+            Matcher forbidden = FORBIDDEN_DEPENDENCIES.matcher(Files.readString(file));
+            assertFalse(forbidden.find(), () -> file + " uses " + forbidden.group());
         }
     }
 }
--- a/src/test/java/larkworks/RulesTest.java
+++ b/src/test/java/larkworks/RulesTest.java
@@ -29,282 +29,300 @@
 /** Feeds random legal events to the decision module under random settings and checks the rules after each. */
 class RulesTest {
 
-    private static final long MS = 1000;
-    private static final long GRACE_US = 300 * MS;
-    private static final long COLD_US = 8_000 * MS;
-    private static final double COLD_FROM = 0.2;
-    private static final double TIP = 2.5;
+    private static final long US_PER_MS = 1000;
+    private static final long DRAIN_GRACE_US = 300 * US_PER_MS;
+    private static final long COLD_PERIOD_US = 8_000 * US_PER_MS;
+    private static final double COLD_START_SHARE = 0.2;
+    private static final double OVERLOAD_MULTIPLE = 2.5;
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 5, 12, 40})
-    void rulesHoldUnderRandomEvents(int fleet) {
-        int sends = 0;
+    void rulesHoldUnderRandomEvents(int serverCount) {
+        int attemptCount = 0;
         for (int seed = 0; seed < 40; seed++) {
-            Run run = new Run(fleet, 1_000L * fleet + seed);
-            run.play(2_000);
-            sends += run.sends;
+            Simulation simulation = new Simulation(serverCount, 1_000L * serverCount + seed);
+            simulation.run(2_000);
+            attemptCount += simulation.attemptCount;
         }
-        assertTrue(sends > 1_500, "too few attempts sent: " + sends);
+        assertTrue(attemptCount > 1_500, "too few attempts sent: " + attemptCount);
     }
 
     /** A scheduled event; events of the same time run in the order in which they were scheduled. */
-    private record Due(long atUs, long order, Runnable event) { }
+    private record ScheduledEvent(long atUs, long sequence, Runnable event) { }
 
     /** An attempt of a request. */
-    private static final class Try {
+    private static final class Attempt {
         String server;
         long sentAtUs;
         long endsAtUs;
-        boolean out = true;
+        boolean isInFlight = true;
         boolean mayHaveRun = true;
     }
 
     /** A request and what has become of it so far. */
-    private static final class Asked {
+    private static final class RequestState {
         Request request;
-        RequestClass kind;
+        RequestClass requestClass;
         long deadlineUs;
-        boolean answered;
-        boolean streaming;
-        final List<Try> tries = new ArrayList<>();
+        boolean isAnswered;
+        boolean isStreaming;
+        final List<Attempt> attempts = new ArrayList<>();
     }
 
     /** One copy of the decision module with random requests, outcomes and changes of the list. */
-    private static final class Run implements Actions {
+    private static final class Simulation implements Actions {
         final SplittableRandom random;
-        final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.atUs() != b.atUs()
-                ? Long.compare(a.atUs(), b.atUs()) : Long.compare(a.order(), b.order()));
-        final Map<String, Asked> asked = new HashMap<>();
-        final Map<String, Server> known = new HashMap<>();
-        final Map<String, Long> closedAtUs = new HashMap<>();
+        final PriorityQueue<ScheduledEvent> schedule = new PriorityQueue<>((a, b) -> a.atUs() != b.atUs()
+                ? Long.compare(a.atUs(), b.atUs()) : Long.compare(a.sequence(), b.sequence()));
+        final Map<String, RequestState> requests = new HashMap<>();
+        final Map<String, Server> listedServers = new HashMap<>();
+        final Map<String, Long> closedAtUsByServer = new HashMap<>();
         final Settings settings;
         final Logic logic;
-        long now = 50_000 * MS;
-        long order;
-        int sends;
-        int ids;
+        long nowUs = 50_000 * US_PER_MS;
+        long nextSequence;
+        int attemptCount;
+        int requestCount;
 
-        Run(int fleet, long seed) {
+        Simulation(int serverCount, long seed) {
             random = new SplittableRandom(seed);
             List<RequestClass> classes = new ArrayList<>();
             for (Effect effect : Effect.values()) {
                 for (DedupGroup group : DedupGroup.values()) {
-                    long aimUs = (100 + random.nextInt(900)) * MS;
+                    long aimUs = (100 + random.nextInt(900)) * US_PER_MS;
                     classes.add(new RequestClass(effect + "-" + group, aimUs,
-                            aimUs + random.nextInt(2_000) * MS, random.nextInt(3), random.nextInt(2), effect,
-                            group, random.nextInt(1_500) * MS));
+                            aimUs + random.nextInt(2_000) * US_PER_MS, random.nextInt(3), random.nextInt(2),
+                            effect, group, random.nextInt(1_500) * US_PER_MS));
                 }
             }
-            boolean watch = random.nextBoolean();
+            boolean watchesDiscovery = random.nextBoolean();
             int copies = 1 + random.nextInt(200);
             settings = new Settings(classes, random.nextBoolean() ? List.of() : List.of(new Tenant("t", 5),
                     new Tenant("u", 0)), new Limits(1 + random.nextInt(4), random.nextBoolean(),
-                    random.nextBoolean(), random.nextBoolean(), random.nextInt(2) * 500 * MS),
-                    new Rules(GRACE_US, watch ? 8_000 * MS : 0, COLD_FROM, COLD_US, TIP),
+                    random.nextBoolean(), random.nextBoolean(), random.nextInt(2) * 500 * US_PER_MS),
+                    new Rules(DRAIN_GRACE_US, watchesDiscovery ? 8_000 * US_PER_MS : 0, COLD_START_SHARE,
+                    COLD_PERIOD_US, OVERLOAD_MULTIPLE),
                     random.nextInt(2) * 0.01, random.nextInt(2) * 0.01, random.nextInt(3),
-                    random.nextInt(copies), copies, random.nextInt(2), 2, watch, random.nextDouble(), MS);
+                    random.nextInt(copies), copies, random.nextInt(2), 2, watchesDiscovery,
+                    random.nextDouble(), US_PER_MS);
             logic = new Logic(settings, seed, this);
             List<Server> list = new ArrayList<>();
-            for (int i = 0; i < fleet; i++) {
+            for (int i = 0; i < serverCount; i++) {
                 list.add(new Server("s" + i, 0, i % 3, i % 4, 1 + random.nextInt(3), ServerStatus.UP));
             }
-            list.forEach(s -> known.put(s.id(), s));
-            logic.serversChanged(now, ListKind.REMEMBERED, list);
+            list.forEach(s -> listedServers.put(s.id(), s));
+            logic.serversChanged(nowUs, ListKind.REMEMBERED, list);
         }
 
-        void play(int events) {
-            at(now, this::arrive);
-            at(now, this::changeList);
-            for (int i = 0; i < events && !due.isEmpty(); i++) {
+        void run(int eventCount) {
+            scheduleAt(nowUs, this::arrive);
+            scheduleAt(nowUs, this::changeList);
+            for (int i = 0; i < eventCount && !schedule.isEmpty(); i++) {
                 step();
             }
-            long end = now + 10_000 * MS;
-            while (!due.isEmpty() && due.peek().atUs() < end) {
+            long endUs = nowUs + 10_000 * US_PER_MS;
+            while (!schedule.isEmpty() && schedule.peek().atUs() < endUs) {
                 step();
             }
-            asked.forEach((id, a) -> assertTrue(a.answered || a.streaming || a.deadlineUs >= now - MS,
+            requests.forEach((id, state) -> assertTrue(state.isAnswered || state.isStreaming
+                    || state.deadlineUs >= nowUs - US_PER_MS,
                     () -> id + " was never answered"));
         }
 
         private void step() {
-            Due next = due.poll();
-            now = Math.max(now, next.atUs());
+            ScheduledEvent next = schedule.poll();
+            nowUs = Math.max(nowUs, next.atUs());
             next.event().run();
         }
 
-        private void at(long atUs, Runnable event) {
-            due.add(new Due(atUs, order++, event));
+        private void scheduleAt(long atUs, Runnable event) {
+            schedule.add(new ScheduledEvent(atUs, nextSequence++, event));
         }
 
         private void arrive() {
-            Asked a = new Asked();
-            int index = random.nextInt(settings.classes().size());
-            a.kind = settings.classes().get(index);
-            long left = 1 + (long) (random.nextDouble() * a.kind.deadlineUs());
-            a.request = new Request("r" + ids++, index, random.nextInt(2), left,
-                    random.nextInt(2) * (1 + random.nextInt(90)) * MS, random.nextInt(5) == 0);
-            a.deadlineUs = now + left;
-            asked.put(a.request.id(), a);
-            at(a.deadlineUs + 2 * MS, () -> assertTrue(a.answered || a.streaming,
-                    () -> a.request + " was not answered before its deadline; attempts " + a.tries.size()
-                    + ", in flight " + a.tries.stream().filter(t -> t.out).count() + " " + settings));
-            at(now + random.nextLong(60 * MS), this::arrive);
-            logic.request(now, a.request);
+            RequestState state = new RequestState();
+            int classIndex = random.nextInt(settings.classes().size());
+            state.requestClass = settings.classes().get(classIndex);
+            long timeLeftUs = 1 + (long) (random.nextDouble() * state.requestClass.deadlineUs());
+            state.request = new Request("r" + requestCount++, classIndex, random.nextInt(2), timeLeftUs,
+                    random.nextInt(2) * (1 + random.nextInt(90)) * US_PER_MS, random.nextInt(5) == 0);
+            state.deadlineUs = nowUs + timeLeftUs;
+            requests.put(state.request.id(), state);
+            scheduleAt(state.deadlineUs + 2 * US_PER_MS,
+                    () -> assertTrue(state.isAnswered || state.isStreaming,
+                    () -> state.request + " was not answered before its deadline; attempts "
+                    + state.attempts.size() + ", in flight "
+                    + state.attempts.stream().filter(attempt -> attempt.isInFlight).count()
+                    + " " + settings));
+            scheduleAt(nowUs + random.nextLong(60 * US_PER_MS), this::arrive);
+            logic.request(nowUs, state.request);
             if (random.nextInt(40) == 0) {
-                at(now + random.nextLong(left), () -> {
-                    if (!a.answered) {
-                        a.answered = true;
-                        logic.clientGone(now, a.request.id());
+                scheduleAt(nowUs + random.nextLong(timeLeftUs), () -> {
+                    if (!state.isAnswered) {
+                        state.isAnswered = true;
+                        logic.clientGone(nowUs, state.request.id());
                     }
                 });
             }
         }
 
         private void changeList() {
-            at(now + random.nextLong(900 * MS), this::changeList);
+            scheduleAt(nowUs + random.nextLong(900 * US_PER_MS), this::changeList);
             if (random.nextInt(6) == 0 && settings.watchesDiscovery()) {
-                logic.discoveryFailed(now);
+                logic.discoveryFailed(nowUs);
                 return;
             }
-            int number = random.nextInt(known.size() + 2);
-            String id = "s" + number;
+            int serverNumber = random.nextInt(listedServers.size() + 2);
+            String id = "s" + serverNumber;
             ServerStatus status = ServerStatus.values()[random.nextInt(3)];
-            boolean restart = random.nextBoolean();
-            Server s = new Server(id, restart ? now - random.nextLong(COLD_US) : 0, number % 3,
-                    number % 4, 1 + random.nextInt(3), status);
+            boolean isRestarted = random.nextBoolean();
+            Server change = new Server(id, isRestarted ? nowUs - random.nextLong(COLD_PERIOD_US) : 0,
+                    serverNumber % 3, serverNumber % 4, 1 + random.nextInt(3), status);
             if (status == ServerStatus.UP) {
-                closedAtUs.remove(id);
-                known.put(id, s);
+                closedAtUsByServer.remove(id);
+                listedServers.put(id, change);
             } else {
-                closedAtUs.putIfAbsent(id, now);
+                closedAtUsByServer.putIfAbsent(id, nowUs);
             }
             if (random.nextBoolean()) {
-                logic.serversChanged(now, ListKind.CHANGES, List.of(s));
+                logic.serversChanged(nowUs, ListKind.CHANGES, List.of(change));
             } else {
-                List<Server> all = new ArrayList<>();
-                known.forEach((k, v) -> {
-                    if (!closedAtUs.containsKey(k)) {
-                        all.add(v);
+                List<Server> fullList = new ArrayList<>();
+                listedServers.forEach((serverId, server) -> {
+                    if (!closedAtUsByServer.containsKey(serverId)) {
+                        fullList.add(server);
                     }
                 });
-                logic.serversChanged(now, ListKind.WHOLE, all);
+                logic.serversChanged(nowUs, ListKind.WHOLE, fullList);
             }
         }
 
         @Override
         public void send(String id, String server, long timeoutUs) {
-            sends++;
-            Asked a = asked.get(id);
-            assertTrue(!a.answered && !a.streaming, () -> id + " was sent after it had been answered");
-            assertTrue(now <= a.deadlineUs, () -> id + " was sent after its deadline");
-            assertTrue(known.containsKey(server), () -> server + " was never listed");
-            assertTrue(now <= closedAtUs.getOrDefault(server, now) + GRACE_US,
+            attemptCount++;
+            RequestState state = requests.get(id);
+            assertTrue(!state.isAnswered && !state.isStreaming,
+                    () -> id + " was sent after it had been answered");
+            assertTrue(nowUs <= state.deadlineUs, () -> id + " was sent after its deadline");
+            assertTrue(listedServers.containsKey(server), () -> server + " was never listed");
+            assertTrue(nowUs <= closedAtUsByServer.getOrDefault(server, nowUs) + DRAIN_GRACE_US,
                     () -> server + " got a request after its drain grace period");
-            assertTrue(a.tries.size() < settings.limits().maxAttempts(), () -> id + ": too many attempts");
-            assertTrue(settings.limits().canHedge() || a.tries.stream().noneMatch(t -> t.out),
+            assertTrue(state.attempts.size() < settings.limits().maxAttempts(),
+                    () -> id + ": too many attempts");
+            assertTrue(settings.limits().canHedge()
+                    || state.attempts.stream().noneMatch(earlier -> earlier.isInFlight),
                     () -> id + ": two attempts in flight although hedging is not allowed");
-            Server to = known.get(server);
-            a.tries.stream().filter(t -> t.mayHaveRun).forEach(t -> {
-                assertTrue(a.kind.effect() != Effect.UNSAFE,
+            Server newServer = listedServers.get(server);
+            state.attempts.stream().filter(earlier -> earlier.mayHaveRun).forEach(earlier -> {
+                assertTrue(state.requestClass.effect() != Effect.UNSAFE,
                         () -> id + " was sent again though it may have run");
-                if (a.kind.effect() == Effect.KEYED) {
-                    assertTrue(now - t.sentAtUs <= a.kind.dedupWindowUs(),
+                if (state.requestClass.effect() == Effect.KEYED) {
+                    assertTrue(nowUs - earlier.sentAtUs <= state.requestClass.dedupWindowUs(),
                             () -> id + ": sent again after its deduplication window");
                 }
             });
-            if (a.kind.effect() == Effect.KEYED && a.kind.group() != DedupGroup.ALL) {
-                a.tries.stream().filter(t -> t.mayHaveRun).forEach(t -> {
-                    Server before = known.get(t.server);
-                    assertEquals(before.zone(), to.zone(), () -> id + " was sent again to another zone");
-                    assertTrue(a.kind.group() == DedupGroup.ZONE || before.group() == to.group(),
+            if (state.requestClass.effect() == Effect.KEYED && state.requestClass.group() != DedupGroup.ALL) {
+                state.attempts.stream().filter(earlier -> earlier.mayHaveRun).forEach(earlier -> {
+                    Server earlierServer = listedServers.get(earlier.server);
+                    assertEquals(earlierServer.zone(), newServer.zone(),
+                            () -> id + " was sent again to another zone");
+                    assertTrue(state.requestClass.group() == DedupGroup.ZONE
+                            || earlierServer.group() == newServer.group(),
                             () -> id + " was sent again to another cell");
                 });
             }
-            Try t = new Try();
-            t.server = server;
-            t.sentAtUs = now;
-            t.endsAtUs = Math.min(now + timeoutUs, a.deadlineUs);
-            a.tries.add(t);
-            int number = a.tries.size() - 1;
-            Outcome[] all = {Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT,
-                Outcome.CONNECT_FAILED, Outcome.RESET};
-            Outcome outcome = all[random.nextInt(all.length)];
-            long endUs = outcome == Outcome.TIMEOUT ? t.endsAtUs
-                    : Math.min(t.endsAtUs, now + random.nextLong(300 * MS));
+            Attempt attempt = new Attempt();
+            attempt.server = server;
+            attempt.sentAtUs = nowUs;
+            attempt.endsAtUs = Math.min(nowUs + timeoutUs, state.deadlineUs);
+            state.attempts.add(attempt);
+            int attemptNumber = state.attempts.size() - 1;
+            Outcome[] possibleOutcomes = {Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.FULL,
+                Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET};
+            Outcome outcome = possibleOutcomes[random.nextInt(possibleOutcomes.length)];
+            long endUs = outcome == Outcome.TIMEOUT ? attempt.endsAtUs
+                    : Math.min(attempt.endsAtUs, nowUs + random.nextLong(300 * US_PER_MS));
             if (outcome == Outcome.OK && random.nextInt(8) == 0) {
-                at(Math.min(endUs, now + MS), () -> {
-                    if (t.out && !a.answered && !a.streaming && now < a.deadlineUs) {
-                        a.streaming = true;
-                        logic.streamStarted(now, id, number, server, now - t.sentAtUs);
+                scheduleAt(Math.min(endUs, nowUs + US_PER_MS), () -> {
+                    if (attempt.isInFlight && !state.isAnswered && !state.isStreaming
+                            && nowUs < state.deadlineUs) {
+                        state.isStreaming = true;
+                        logic.streamStarted(nowUs, id, attemptNumber, server, nowUs - attempt.sentAtUs);
                     }
                 });
             }
-            at(endUs, () -> end(a, number, outcome));
+            scheduleAt(endUs, () -> end(state, attemptNumber, outcome));
         }
 
-        private void end(Asked a, int number, Outcome outcome) {
-            Try t = a.tries.get(number);
-            if (!t.out) {
+        private void end(RequestState state, int attemptNumber, Outcome outcome) {
+            Attempt attempt = state.attempts.get(attemptNumber);
+            if (!attempt.isInFlight) {
                 return;
             }
-            t.out = false;
-            t.mayHaveRun = !outcome.provesNotRun;
-            boolean ended = a.answered || outcome == Outcome.OK || a.streaming;
-            a.answered |= ended;
+            attempt.isInFlight = false;
+            attempt.mayHaveRun = !outcome.provesNotRun;
+            boolean hasEnded = state.isAnswered || outcome == Outcome.OK || state.isStreaming;
+            state.isAnswered |= hasEnded;
             LoadReport report = random.nextBoolean() ? null : new LoadReport(random.nextInt(9),
                     random.nextInt(5), random.nextDouble());
-            logic.outcome(now, a.request.id(), number, t.server, outcome, now - t.sentAtUs, ended, report);
-            logic.outcome(now, a.request.id(), number, t.server, Outcome.OK, 1, ended, report);
+            logic.outcome(nowUs, state.request.id(), attemptNumber, attempt.server, outcome,
+                    nowUs - attempt.sentAtUs, hasEnded, report);
+            logic.outcome(nowUs, state.request.id(), attemptNumber, attempt.server, Outcome.OK, 1, hasEnded,
+                    report);
         }
 
         @Override
         public void refuse(String id, long retryAfterUs) {
-            Asked a = asked.get(id);
-            assertTrue(a.kind.effect() == Effect.SAFE || a.tries.stream().noneMatch(t -> t.mayHaveRun)
-                    || a.kind.effect() == Effect.KEYED && a.kind.group() == DedupGroup.ALL,
+            RequestState state = requests.get(id);
+            assertTrue(state.requestClass.effect() == Effect.SAFE
+                    || state.attempts.stream().noneMatch(attempt -> attempt.mayHaveRun)
+                    || state.requestClass.effect() == Effect.KEYED
+                    && state.requestClass.group() == DedupGroup.ALL,
                     () -> id + " was refused though it may have run");
-            answer(a);
+            answer(state);
         }
 
         @Override
         public void fail(String id) {
-            answer(asked.get(id));
+            answer(requests.get(id));
         }
 
-        private void answer(Asked a) {
-            assertTrue(!a.answered && !a.streaming, () -> a.request.id() + " was answered twice");
-            a.answered = true;
+        private void answer(RequestState state) {
+            assertTrue(!state.isAnswered && !state.isStreaming,
+                    () -> state.request.id() + " was answered twice");
+            state.isAnswered = true;
         }
 
         @Override
         public void cancel(String id, int attempt) {
             assertTrue(settings.limits().canCancel(), "cancels are not allowed");
-            Asked a = asked.get(id);
-            at(now + MS, () -> end(a, attempt, Outcome.CANCELLED));
+            RequestState state = requests.get(id);
+            scheduleAt(nowUs + US_PER_MS, () -> end(state, attempt, Outcome.CANCELLED));
         }
 
         @Override
         public void probe(String server) {
             assertTrue(settings.limits().canProbe(), "probes are not allowed");
             Outcome outcome = random.nextInt(4) == 0 ? Outcome.TIMEOUT : Outcome.OK;
-            long sentAtUs = now;
-            at(now + 1 + random.nextLong(3 * MS), () -> logic.probeResult(now, server, outcome,
-                    now - sentAtUs, outcome == Outcome.OK ? new LoadReport(random.nextInt(4), 0, 0) : null));
+            long sentAtUs = nowUs;
+            scheduleAt(nowUs + 1 + random.nextLong(3 * US_PER_MS),
+                    () -> logic.probeResult(nowUs, server, outcome, nowUs - sentAtUs,
+                    outcome == Outcome.OK ? new LoadReport(random.nextInt(4), 0, 0) : null));
         }
 
         @Override
         public void wakeAt(long atUs) {
-            at(Math.max(atUs, now + MS), () -> logic.timer(now));
+            scheduleAt(Math.max(atUs, nowUs + US_PER_MS), () -> logic.timer(nowUs));
         }
 
         @Override
         public void watchServers() {
             assertTrue(settings.watchesDiscovery(), "a watch is not allowed");
-            at(now + random.nextLong(200 * MS), () -> {
+            scheduleAt(nowUs + random.nextLong(200 * US_PER_MS), () -> {
                 if (random.nextInt(3) == 0) {
-                    logic.discoveryFailed(now);
+                    logic.discoveryFailed(nowUs);
                 } else {
-                    logic.serversChanged(now, ListKind.CHANGES, List.of());
+                    logic.serversChanged(nowUs, ListKind.CHANGES, List.of());
                 }
             });
         }
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -15,13 +15,13 @@
 
     private static final long US_PER_MS = SimulatedProxy.US_PER_MS;
 
-    private static SimulatedProxy proxy(String... servers) {
+    private static SimulatedProxy proxyWithServers(String... servers) {
         return new SimulatedProxy(new SimulatedProxy.TestSettings()).withServers(servers);
     }
 
     @Test
     void peerEjectionHoldsUntilItExpiresAndPeerDemotedServerIsUsedLast() {
-        SimulatedProxy proxy = proxy("a", "b");
+        SimulatedProxy proxy = proxyWithServers("a", "b");
         proxy.logic.peerVerdict(proxy.nowUs, "a", Verdict.RESTS, proxy.nowUs + 500 * US_PER_MS);
         assertEquals("b", proxy.serveRequest());
         assertEquals("b", proxy.serveRequest());
@@ -36,18 +36,18 @@
 
     @Test
     void peerEjectionOnlyDemotesAServerThatAnsweredRecently() {
-        SimulatedProxy proxy = proxy("a", "b");
-        String first = proxy.serveRequest();
-        String second = proxy.serveRequest();
-        proxy.logic.peerVerdict(proxy.nowUs, first, Verdict.RESTS, proxy.nowUs + 500 * US_PER_MS);
-        assertEquals(second, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
-        assertEquals(first, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+        SimulatedProxy proxy = proxyWithServers("a", "b");
+        String firstServer = proxy.serveRequest();
+        String secondServer = proxy.serveRequest();
+        proxy.logic.peerVerdict(proxy.nowUs, firstServer, Verdict.RESTS, proxy.nowUs + 500 * US_PER_MS);
+        assertEquals(secondServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+        assertEquals(firstServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
                 "demoted, not ejected: it is used as the other server is busy");
     }
 
     @Test
     void publishesDemotionAfterConnectFailureAndWithdrawsItAfterRecovery() {
-        SimulatedProxy proxy = proxy("a", "b", "c");
+        SimulatedProxy proxy = proxyWithServers("a", "b", "c");
         String request = proxy.sendRequest(SimulatedProxy.SAFE);
         String server = proxy.latestServer(request);
         proxy.endAttempt(request, Outcome.CONNECT_FAILED);
@@ -63,10 +63,10 @@
 
     @Test
     void serverWithExhaustedBudgetGetsNoCallsUntilTheBudgetIsRenewedOrRemoved() {
-        SimulatedProxy proxy = proxy("a", "b");
+        SimulatedProxy proxy = proxyWithServers("a", "b");
         proxy.logic.serverBudgetChanged(proxy.nowUs, "a", 1, proxy.nowUs + 1_000 * US_PER_MS);
-        Set<String> taken = Set.of(proxy.serveRequest(), proxy.serveRequest());
-        assertEquals(Set.of("a", "b"), taken);
+        Set<String> usedServers = Set.of(proxy.serveRequest(), proxy.serveRequest());
+        assertEquals(Set.of("a", "b"), usedServers);
         assertTrue(proxy.hasAction("budget a spent"));
         assertEquals("b", proxy.serveRequest());
         assertEquals("b", proxy.serveRequest());
@@ -79,12 +79,12 @@
 
     @Test
     void requestsBeyondTheBudgetOfTheirClassAreRefusedAtOnce() {
-        SimulatedProxy proxy = proxy("a", "b");
+        SimulatedProxy proxy = proxyWithServers("a", "b");
         proxy.logic.classBudgetChanged(proxy.nowUs, SimulatedProxy.SAFE, 1, proxy.nowUs + 1_000 * US_PER_MS);
         proxy.serveRequest();
-        int refused = proxy.countActions("refuse");
+        int refusedBefore = proxy.countActions("refuse");
         proxy.sendRequest(SimulatedProxy.SAFE);
-        assertEquals(refused + 1, proxy.countActions("refuse"));
+        assertEquals(refusedBefore + 1, proxy.countActions("refuse"));
         assertTrue(proxy.hasAction("class 0 short"));
         assertNotEquals(null, proxy.latestServer(proxy.sendRequest(SimulatedProxy.UNSAFE)),
                 "no budget is set for the other class");
@@ -92,7 +92,7 @@
 
     @Test
     void classUsesItsAffineServersWhileOneOfThemIsIdle() {
-        SimulatedProxy proxy = proxy("a", "b", "c", "d");
+        SimulatedProxy proxy = proxyWithServers("a", "b", "c", "d");
         proxy.logic.affinityChanged(proxy.nowUs, SimulatedProxy.SAFE, List.of("c"));
         assertEquals("c", proxy.serveRequest());
         assertEquals("c", proxy.serveRequest());
--- a/src/test/java/larkworks/SimulatedProxy.java
+++ b/src/test/java/larkworks/SimulatedProxy.java
@@ -124,8 +124,7 @@
     /** Ends an attempt of a request and reports a duration of 50 ms. */
     void endAttempt(String request, int attempt, Outcome outcome) {
         logic.outcome(nowUs, request, attempt, serversByRequest.get(request).get(attempt), outcome,
-                50 * US_PER_MS,
-                outcome == Outcome.OK, null);
+                50 * US_PER_MS, outcome == Outcome.OK, null);
     }
 
     /** Sends a safe request, ends it successfully after 50 ms and returns the server that got it. */
@@ -140,8 +139,7 @@
     /** Answers a probe of a server with a load report and reports a duration of 1 ms. */
     void answerProbe(String server, int inFlight) {
         logic.probeResult(nowUs, server, Outcome.OK, 1 * US_PER_MS,
-                new LoadReport(inFlight, Math.max(0, inFlight
-                - 1), 0));
+                new LoadReport(inFlight, Math.max(0, inFlight - 1), 0));
     }
 
     /** Advances the simulated time and fires the timers that expire. */
