--- a/src/main/java/larkworks/proxy/PendingRequests.java
+++ b/src/main/java/larkworks/proxy/PendingRequests.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All requests that were taken and have not ended, by id. This is the one place where a request ends, so that
- * what any owner forgot shows here: as a request without an answer past its deadline ({@link #overdue}), or
- * as one that is left when the process ends ({@link #logAll}). For the proxy's loop only.
+ * All requests that the driver has accepted and that have not ended, by id. Requests end nowhere else, so a
+ * leaked request shows here: without an answer past its deadline ({@link #pastDeadline}), or still present
+ * when the process ends ({@link #logAll}). To be used on the proxy's event loop only.
  */
 final class PendingRequests {
 
@@ -27,7 +27,7 @@
         byId.put(request.id, request);
     }
 
-    /** The request with this id; null where there is none, or it has ended. */
+    /** Returns the request with this id; null if there is none or it has ended. */
     PendingRequest get(String id) {
         return byId.get(id);
     }
@@ -40,31 +40,31 @@
         return byId.isEmpty();
     }
 
-    /** Ends the request if nothing of it is left; returns whether it ended with this call. */
-    boolean endIfDone(PendingRequest request) {
-        if (!request.ended() || byId.remove(request.id) == null) {
+    /** Removes the request if it has ended; returns whether this call removed it. */
+    boolean removeIfEnded(PendingRequest request) {
+        if (!request.hasEnded() || byId.remove(request.id) == null) {
             return false;
         }
         if (LOG.isDebugEnabled()) {
             LOG.atDebug().addKeyValue("request", request.inbound.callId())
-                    .addKeyValue("state", request.state(clock.nowUs())).log("request ended");
+                    .addKeyValue("state", request.describe(clock.nowUs())).log("request ended");
         }
         return true;
     }
 
-    /** Requests whose clients wait for an answer past their deadline: there must never be any. */
-    List<PendingRequest> overdue() {
+    /** Returns the requests whose clients still wait past their deadlines, of which there must be none. */
+    List<PendingRequest> pastDeadline() {
         long now = clock.nowUs();
-        return byId.values().stream().filter(request -> request.overdue(now)).toList();
+        return byId.values().stream().filter(request -> request.isPastDeadline(now)).toList();
     }
 
-    /** Writes each one that is left to the log, at level debug. */
+    /** Logs each pending request at debug level, with the reason for logging them. */
     void logAll(String why) {
         if (!LOG.isDebugEnabled()) {
             return;
         }
         long now = clock.nowUs();
         byId.values().forEach(request -> LOG.atDebug().addKeyValue("request", request.inbound.callId())
-                .addKeyValue("why", why).addKeyValue("state", request.state(now)).log("request pending"));
+                .addKeyValue("why", why).addKeyValue("state", request.describe(now)).log("request pending"));
     }
 }
--- a/src/main/java/larkworks/proxy/ByteWatch.java
+++ b/src/main/java/larkworks/proxy/ReadNotifier.java
@@ -3,12 +3,12 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells that bytes came on a connection, before anything is made of them. */
-final class ByteWatch extends ChannelInboundHandlerAdapter {
+/** Runs an action whenever bytes are read from a connection, before they are decoded. */
+final class ReadNotifier extends ChannelInboundHandlerAdapter {
 
     private final Runnable action;
 
-    ByteWatch(Runnable action) {
+    ReadNotifier(Runnable action) {
         this.action = action;
     }
 
