--- a/src/test/c/syscall_faults.c
+++ b/src/test/c/syscall_faults.c
@@ -101,12 +101,12 @@
     return (now.tv_sec - load_time.tv_sec) * 1000 + (now.tv_nsec - load_time.tv_nsec) / 1000000;
 }
 
-static _Noreturn void abort_on_malformed_rule(const char *text) {
-    fprintf(stderr, "syscall_faults: malformed rule '%s' or too many rules\n", text);
+static _Noreturn void abort_on_malformed_rule(const char *rule_text) {
+    fprintf(stderr, "syscall_faults: malformed rule '%s' or too many rules\n", rule_text);
     abort();
 }
 
-static int parse_action(const char *name, const char *text) {
+static int parse_action(const char *name, const char *rule_text) {
     if (!strcmp(name, "SHORT")) {
         return SHORT_ACTION;
     }
@@ -118,15 +118,15 @@
             return errno_names[i].number;
         }
     }
-    abort_on_malformed_rule(text);
+    abort_on_malformed_rule(rule_text);
 }
 
-static void parse_rule(const char *text) {
+static void parse_rule(const char *rule_text) {
     char call[16], action[24];
     int parsed_length = 0;
     if (rule_count == MAX_RULES
-            || sscanf(text, "%15[a-z]=%23[A-Z0-9+-]%n", call, action, &parsed_length) != 2) {
-        abort_on_malformed_rule(text);
+            || sscanf(rule_text, "%15[a-z]=%23[A-Z0-9+-]%n", call, action, &parsed_length) != 2) {
+        abort_on_malformed_rule(rule_text);
     }
     struct rule *rule = &rules[rule_count++];
     *rule = (struct rule) {.kind = CALL_KIND_COUNT, .percent = 100, .to_ms = INT64_MAX};
@@ -136,18 +136,18 @@
         }
     }
     if (rule->kind == CALL_KIND_COUNT) {
-        abort_on_malformed_rule(text);
+        abort_on_malformed_rule(rule_text);
     }
     if (rule->kind == CLOCK) {
         rule->clock_ms = atol(action);
     } else {
-        rule->action = parse_action(action, text);
+        rule->action = parse_action(action, rule_text);
     }
-    for (const char *rest = text + parsed_length; *rest; rest += parsed_length) {
+    for (const char *rest = rule_text + parsed_length; *rest; rest += parsed_length) {
         if (sscanf(rest, "@%d%n", &rule->percent, &parsed_length) != 1
                 && sscanf(rest, "#%ld%n", &rule->nth, &parsed_length) != 1
                 && sscanf(rest, ",%ld-%ld%n", &rule->from_ms, &rule->to_ms, &parsed_length) != 2) {
-            abort_on_malformed_rule(text);
+            abort_on_malformed_rule(rule_text);
         }
     }
 }
@@ -167,9 +167,9 @@
     }
     char *copy = strdup(rule_list);
     char *rest = copy;
-    for (char *text = strsep(&rest, ";"); text; text = strsep(&rest, ";")) {
-        if (*text) {
-            parse_rule(text);
+    for (char *rule_text = strsep(&rest, ";"); rule_text; rule_text = strsep(&rest, ";")) {
+        if (*rule_text) {
+            parse_rule(rule_text);
         }
     }
     free(copy);
@@ -382,15 +382,15 @@
 
 /* Adds the milliseconds of all clock rules that apply now. */
 static void add_clock_offset(struct timespec *time) {
-    long ms = 0;
+    long offset_ms = 0;
     for (int i = 0; i < rule_count; i++) {
         if (rules[i].kind == CLOCK) {
             long now = since_load_ms();
-            ms += now >= rules[i].from_ms && now < rules[i].to_ms ? rules[i].clock_ms : 0;
+            offset_ms += now >= rules[i].from_ms && now < rules[i].to_ms ? rules[i].clock_ms : 0;
         }
     }
-    long ns = time->tv_nsec + ms % 1000 * 1000000;
-    time->tv_sec += ms / 1000 + (ns < 0 ? -1 : ns >= NS_PER_S ? 1 : 0);
+    long ns = time->tv_nsec + offset_ms % 1000 * 1000000;
+    time->tv_sec += offset_ms / 1000 + (ns < 0 ? -1 : ns >= NS_PER_S ? 1 : 0);
     time->tv_nsec = (ns + NS_PER_S) % NS_PER_S;
 }
 
--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -109,7 +109,7 @@
      * @param maxSentInWindow work sent in the window that has the highest ratio of sent work to allowed work
      * @param budget budget of the server in that window
      * @param windowEndAfterStartUs time from the server's start to the end of that window
-     * @param sentInFirstHalf work sent to it in the first half of its cold time
+     * @param sentInFirstHalf work sent to it in the first half of its cold period
      * @param possibleInFirstHalf work that it could do in that half
      */
     record ColdServerLoad(String server, double maxSentInWindow, double budget, long windowEndAfterStartUs,
@@ -123,7 +123,7 @@
         @Override
         public String toString() {
             return String.format("%s: maximum work in a window %.1f, budget %.1f, allowed %.1f, %.1f s after"
-                    + " its start; first half of its cold time: %.0f sent, %.0f possible",
+                    + " its start; first half of its cold period: %.0f sent, %.0f possible",
                     server, maxSentInWindow, budget, allowedInWindow(),
                     windowEndAfterStartUs / (double) US_PER_S, sentInFirstHalf, possibleInFirstHalf);
         }
@@ -207,7 +207,7 @@
         for (Copy copy : copies) {
             scheduleAt(nowUs + random.nextLong(MAX_LIST_DELAY_US), () -> {
                 if (change.startedAtUs() > 0) {
-                    copy.knownStarts.add(change.id());
+                    copy.serversWithKnownStart.add(change.id());
                 }
                 copy.logic.serversChanged(nowUs, ListKind.CHANGES, List.of(change));
             });
@@ -359,7 +359,7 @@
         final Map<String, List<Attempt>> attemptsByRequest = new HashMap<>();
         final Set<String> endedRequests = new HashSet<>();
         /** Servers whose start this copy has received in the list. */
-        final Set<String> knownStarts = new HashSet<>();
+        final Set<String> serversWithKnownStart = new HashSet<>();
 
         Copy(int copyNumber, double trafficShare) {
             this.trafficShare = trafficShare;
@@ -393,7 +393,7 @@
             List<Attempt> attempts = attemptsByRequest.computeIfAbsent(request, key -> new ArrayList<>());
             Attempt attempt = new Attempt(this, request, attempts.size(), worker, workByRequest.get(request));
             attempts.add(attempt);
-            if (capacityShare(worker.startedAtUs, nowUs) < 1 && knownStarts.contains(server)) {
+            if (capacityShare(worker.startedAtUs, nowUs) < 1 && serversWithKnownStart.contains(server)) {
                 worker.sentWhileCold.add(new SentWork(nowUs, attempt.work));
             }
             scheduleAt(nowUs + NETWORK_DELAY_US, () -> worker.receive(attempt));
--- a/src/test/java/larkworks/ColdServerFleetTest.java
+++ b/src/test/java/larkworks/ColdServerFleetTest.java
@@ -23,7 +23,7 @@
     private static final int SEEDS = 6;
     /** Traffic before the burst, as a share of the capacity of all servers. */
     private static final double LOAD_BEFORE_BURST = 0.7;
-    /** Minimum share of the work that a server can do in the first half of its cold time that it must get. */
+    /** A cold server must get this share of the work that it can do in the first half of its cold period. */
     private static final double MIN_USED_SHARE = 0.2;
 
     static Stream<Arguments> scenarios() {
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -291,15 +291,15 @@
         void ejectsAServerWithAMuchHigherErrorRateThanTheOthers() {
             // A server that answers errors at once is always idle and would attract more and more calls.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
-            int errors = 0;
+            int failedCalls = 0;
             for (int i = 0; i < 200; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
                 proxy.advanceMs(20);
                 boolean isFailingServer = "a".equals(proxy.latestServer(request));
-                errors += isFailingServer ? 1 : 0;
+                failedCalls += isFailingServer ? 1 : 0;
                 proxy.endAttempt(request, isFailingServer ? Outcome.ERROR : Outcome.OK);
             }
-            assertTrue(errors < 12, "calls that failed: " + errors);
+            assertTrue(failedCalls < 12, "calls that failed: " + failedCalls);
         }
 
         @Test
@@ -693,12 +693,12 @@
             SimulatedProxy proxy =
                     new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d", "e", "f", "g", "h");
             for (int i = 0; i < 60; i++) {
-                int nextAction = proxy.recordedActions.size();
+                int nextActionIndex = proxy.recordedActions.size();
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 for (int elapsedMs = 0; elapsedMs < 20; elapsedMs++) {
                     proxy.advanceMs(1);
-                    for (; nextAction < proxy.recordedActions.size(); nextAction++) {
-                        String action = proxy.recordedActions.get(nextAction);
+                    for (; nextActionIndex < proxy.recordedActions.size(); nextActionIndex++) {
+                        String action = proxy.recordedActions.get(nextActionIndex);
                         if (action.startsWith("probe")) {
                             proxy.answerProbe(action.substring(6),
                                     action.endsWith("a") || action.endsWith("b") ? 6 : 0);
@@ -732,12 +732,12 @@
         private SimulatedProxy proxyAfterServedCalls(String... servers) {
             SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers(servers);
             for (int i = 0; i < 12; i++) {
-                int nextAction = proxy.recordedActions.size();
+                int nextActionIndex = proxy.recordedActions.size();
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(1);
-                for (; nextAction < proxy.recordedActions.size(); nextAction++) {
-                    if (proxy.recordedActions.get(nextAction).startsWith("probe")) {
-                        proxy.answerProbe(proxy.recordedActions.get(nextAction).substring(6), 0);
+                for (; nextActionIndex < proxy.recordedActions.size(); nextActionIndex++) {
+                    if (proxy.recordedActions.get(nextActionIndex).startsWith("probe")) {
+                        proxy.answerProbe(proxy.recordedActions.get(nextActionIndex).substring(6), 0);
                     }
                 }
                 proxy.advanceMs(50);
@@ -760,12 +760,12 @@
             assertNotNull(proxy.latestServer(requestDuringSlowProbes),
                     "a call must not wait for slow probes");
             proxy.endAttempt(requestDuringSlowProbes, Outcome.OK);
-            int nextAction = proxy.recordedActions.size();
+            int nextActionIndex = proxy.recordedActions.size();
             for (int i = 0; i < 40; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(1);
-                answerProbes(proxy, nextAction, 0, "");
-                nextAction = proxy.recordedActions.size();
+                answerProbes(proxy, nextActionIndex, 0, "");
+                nextActionIndex = proxy.recordedActions.size();
                 proxy.advanceMs(300);
                 proxy.endAttempt(request, Outcome.OK);
             }
@@ -774,9 +774,9 @@
         }
 
         /** Answers the probes recorded from an index on, except those to unreachable servers. */
-        private void answerProbes(SimulatedProxy proxy, int fromAction, int inFlight,
+        private void answerProbes(SimulatedProxy proxy, int fromActionIndex, int inFlight,
                 String unreachableServers) {
-            for (int i = fromAction; i < proxy.recordedActions.size(); i++) {
+            for (int i = fromActionIndex; i < proxy.recordedActions.size(); i++) {
                 String[] actionWords = proxy.recordedActions.get(i).split(" ");
                 if (actionWords[0].equals("probe") && !unreachableServers.contains(actionWords[1])) {
                     proxy.answerProbe(actionWords[1], inFlight);
@@ -789,9 +789,9 @@
             // The least recently assigned server is probed first. When it did not answer, the call went to it
             // all the same, as it was still the least recently assigned one.
             SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
-            int nextAction = proxy.recordedActions.size();
+            int nextActionIndex = proxy.recordedActions.size();
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
-            String probedServer = proxy.recordedActions.get(nextAction).substring(6);
+            String probedServer = proxy.recordedActions.get(nextActionIndex).substring(6);
             proxy.advanceMs(50);
             assertNotNull(proxy.latestServer(request));
             assertNotEquals(probedServer, proxy.latestServer(request));
@@ -806,10 +806,10 @@
                 proxy.logic.probeResult(proxy.nowUs, "a", Outcome.TIMEOUT, 50 * US_PER_MS, null);
             }
             for (int i = 0; i < 6; i++) {
-                int nextAction = proxy.recordedActions.size();
+                int nextActionIndex = proxy.recordedActions.size();
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(5);
-                answerProbes(proxy, nextAction, 0, "a");
+                answerProbes(proxy, nextActionIndex, 0, "a");
                 proxy.advanceMs(5);
                 assertNotEquals("a", proxy.latestServer(request));
             }
@@ -825,10 +825,10 @@
             }
             int probesBefore = proxy.countActions("probe a");
             for (int i = 0; i < 8; i++) {
-                int nextAction = proxy.recordedActions.size();
+                int nextActionIndex = proxy.recordedActions.size();
                 proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(5);
-                answerProbes(proxy, nextAction, 0, "");
+                answerProbes(proxy, nextActionIndex, 0, "");
                 proxy.advanceMs(5);
             }
             assertNotEquals(probesBefore, proxy.countActions("probe a"));
@@ -843,12 +843,12 @@
                 proxy.logic.probeResult(proxy.nowUs, unreachableServer, Outcome.TIMEOUT, 50 * US_PER_MS,
                         null);
             }
-            int nextAction = proxy.recordedActions.size();
+            int nextActionIndex = proxy.recordedActions.size();
             String request = proxy.sendRequest(SimulatedProxy.SAFE);
             for (int i = 0; i < 4; i++) {
                 proxy.advanceMs(2);
-                answerProbes(proxy, nextAction, 1, "a b");
-                nextAction = proxy.recordedActions.size();
+                answerProbes(proxy, nextActionIndex, 1, "a b");
+                nextActionIndex = proxy.recordedActions.size();
             }
             proxy.advanceMs(10);
             assertEquals("c", proxy.latestServer(request));
@@ -913,11 +913,11 @@
             for (int i = 0; i < 60; i++) {
                 proxy.sendRequest(SimulatedProxy.SAFE);
             }
-            int sentAtOnce = proxy.countActions("send") - 10;
-            assertTrue(sentAtOnce < 12, "sent at once: " + sentAtOnce);
+            int sendsAtOnce = proxy.countActions("send") - 10;
+            assertTrue(sendsAtOnce < 12, "sent at once: " + sendsAtOnce);
             proxy.advanceMs(1_000);
-            assertEquals(60, sentAtOnce + proxy.countActions("fail") + proxy.countActions("refuse")
-                    + proxy.countActions("send") - 10 - sentAtOnce);
+            assertEquals(60, sendsAtOnce + proxy.countActions("fail") + proxy.countActions("refuse")
+                    + proxy.countActions("send") - 10 - sendsAtOnce);
         }
 
         @Test
--- a/src/test/java/larkworks/ModuleShapeTest.java
+++ b/src/test/java/larkworks/ModuleShapeTest.java
@@ -30,7 +30,7 @@
             Pattern.compile("java\\.(io|nio|net|time)|io\\.netty|org\\.slf4j"
             + "|\\bSystem\\.|\\bThread\\b|Math\\.random|larkworks\\.[a-z]+\\.");
 
-    private static List<Path> listedInDeployFile() throws IOException {
+    private static List<Path> filesListedInDeployFile() throws IOException {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
         return Pattern.compile("\"([^\"]+)\"").matcher(policy).results().map(match -> Path.of(match.group(1)))
@@ -43,13 +43,13 @@
             Set<Path> moduleFiles = files.filter(Files::isRegularFile)
                     .filter(file -> !SHARED_FILES.contains(file.getFileName().toString()))
                     .collect(Collectors.toCollection(TreeSet::new));
-            assertEquals(moduleFiles, new TreeSet<>(listedInDeployFile()));
+            assertEquals(moduleFiles, new TreeSet<>(filesListedInDeployFile()));
         }
     }
 
     @Test
     void noSourceFileExceedsTheMaximumLength() throws IOException {
-        for (Path file : listedInDeployFile()) {
+        for (Path file : filesListedInDeployFile()) {
             long lines = Files.readAllLines(file).stream().filter(line -> !line.isBlank()).count();
             assertTrue(lines > 0 && lines <= MAX_NON_BLANK_LINES,
                     file + " has " + lines + " non-blank lines");
@@ -58,7 +58,7 @@
 
     @Test
     void decisionModuleUsesNoInputOutputAndNoClock() throws IOException {
-        for (Path file : listedInDeployFile()) {
+        for (Path file : filesListedInDeployFile()) {
             Matcher forbidden = FORBIDDEN_DEPENDENCIES.matcher(Files.readString(file));
             assertFalse(forbidden.find(), () -> file + " uses " + forbidden.group());
         }
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -52,10 +52,10 @@
         String server = proxy.latestServer(request);
         proxy.endAttempt(request, Outcome.CONNECT_FAILED);
         assertTrue(proxy.hasAction("verdict " + server + " DEMOTED"));
-        String second = proxy.sendRequest(SimulatedProxy.SAFE);
-        String third = proxy.sendRequest(SimulatedProxy.SAFE);
-        String fourth = proxy.sendRequest(SimulatedProxy.SAFE);
-        for (String laterRequest : List.of(second, third, fourth)) {
+        String secondRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+        String thirdRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+        String fourthRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+        for (String laterRequest : List.of(secondRequest, thirdRequest, fourthRequest)) {
             proxy.endAttempt(laterRequest, Outcome.OK);
         }
         assertTrue(proxy.hasAction("verdict " + server + " DEMOTED back"), proxy.recordedActions.toString());
