--- a/src/main/java/larkworks/proxy/Absences.java
+++ b/src/main/java/larkworks/proxy/MaintenanceStore.java
@@ -10,49 +10,51 @@
 import java.util.Set;
 
 /**
- * The backends called out, kept in a folder that outlives the process: an empty file for each, its name the
- * backend's id, encoded. Two live processes share the folder, and neither overwrites the other's calls.
+ * Stores the backends in maintenance in a folder that outlives the process, as one empty file per backend,
+ * named after the backend's Base64-encoded id. Two live processes share the folder; with a file per backend
+ * neither overwrites what the other stored.
  */
-final class Absences {
+final class MaintenanceStore {
 
-    private static final String PREFIX = "out-";
+    private static final String FILE_PREFIX = "out-";
 
     private final Path folder;
 
-    Absences(Path folder) {
+    MaintenanceStore(Path folder) {
         this.folder = folder;
     }
 
-    private static String encoded(String text) {
+    private static String encode(String text) {
         return Base64.getUrlEncoder().withoutPadding().encodeToString(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private Path file(String backend) {
-        return folder.resolve(PREFIX + encoded(backend));
+    private Path backendFile(String backend) {
+        return folder.resolve(FILE_PREFIX + encode(backend));
     }
 
-    /** Writes down that the backend is out; once this returns, every process that looks sees it. */
+    /** Stores that the backend is in maintenance; visible to other processes once this returns. */
     void add(String backend) throws IOException {
-        Path file = file(backend);
+        Path file = backendFile(backend);
         if (!Files.exists(file)) {
             Files.write(file, new byte[0]);
         }
     }
 
     void remove(String backend) throws IOException {
-        Files.deleteIfExists(file(backend));
+        Files.deleteIfExists(backendFile(backend));
     }
 
-    /** All that are out by now. */
-    Set<String> read() throws IOException {
+    /** Returns the ids of all backends in maintenance. */
+    Set<String> backends() throws IOException {
         Set<String> backends = new HashSet<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, FILE_PREFIX + "*")) {
             for (Path file : files) {
-                String name = file.getFileName().toString().substring(PREFIX.length());
+                String name = file.getFileName().toString().substring(FILE_PREFIX.length());
                 backends.add(new String(Base64.getUrlDecoder().decode(name), StandardCharsets.UTF_8));
             }
         } catch (IllegalArgumentException e) {
-            throw new IOException("a file in " + folder + " names no backend", e);
+            throw new IOException("a file in " + folder + " has a name that is not '" + FILE_PREFIX
+                    + "' and a Base64-encoded backend id", e);
         }
         return backends;
     }
