--- a/src/main/java/larkworks/Attempt.java
+++ b/src/main/java/larkworks/Attempt.java
@@ -4,36 +4,39 @@
 final class Attempt {
     final Backend server;
     final long sentAtUs;
-    /** Calls ahead of it at its server as far as was known, and itself. */
-    final double ahead;
-    /** True where that included other copies' calls. */
-    final boolean known;
+    /** The known calls in flight at the server when this attempt was sent, plus this attempt's own work. */
+    final double serverLoad;
+    /** True where the known calls in flight included those of other copies. */
+    final boolean isLoadKnown;
     final Call call;
-    /** When it should have ended by all that is known; an attempt out longer is overdue. */
-    long overdueAtUs;
-    boolean out = true;
-    /** The server has it whole and has not begun to answer it: it counts as in flight there. */
-    boolean working;
-    /** Its answer has begun. */
-    boolean answering;
-    boolean provedNotRun;
-    boolean overdue;
+    /** When the attempt counts as stalled if it has not been answered by then. */
+    long stalledAtUs;
+    boolean isInFlight = true;
+    /**
+     * Whether the server has received the request in full and has not begun to answer: only then the attempt
+     * counts as in flight there.
+     */
+    boolean isServerWorking;
+    /** Whether the answer has begun. */
+    boolean isAnswering;
+    boolean isProvedNotRun;
+    boolean isStalled;
 
-    Attempt(Call call, Backend server, long sentAtUs, double ahead, boolean known) {
+    Attempt(Call call, Backend server, long sentAtUs, double serverLoad, boolean isLoadKnown) {
         this.call = call;
         this.server = server;
         this.sentAtUs = sentAtUs;
-        this.ahead = ahead;
-        this.known = known;
+        this.serverLoad = serverLoad;
+        this.isLoadKnown = isLoadKnown;
     }
 
-    void work() {
-        working = true;
-        server.inFlight++;
+    void startWork() {
+        isServerWorking = true;
+        server.attemptsInFlight++;
     }
 
-    void done() {
-        server.inFlight -= working ? 1 : 0;
-        working = false;
+    void endWork() {
+        server.attemptsInFlight -= isServerWorking ? 1 : 0;
+        isServerWorking = false;
     }
 }
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -1005,7 +1005,7 @@
             }
             int sentCalls = proxy.serversByRequest.size();
             assertTrue(sentCalls < 40, "calls sent of 100, none served: " + sentCalls);
-            assertEquals(1, proxy.countActions("log jam"));
+            assertEquals(1, proxy.countActions("log congestion:"));
             for (int i = 0; i < 100; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
                 proxy.advanceMs(100);
@@ -1018,7 +1018,7 @@
                 assertNotNull(proxy.serveRequest());
             }
             assertEquals(sentCalls + 20, proxy.serversByRequest.size());
-            assertEquals(1, proxy.countActions("log the jam has cleared"));
+            assertEquals(1, proxy.countActions("log congestion has cleared"));
         }
 
         @Test
@@ -1034,7 +1034,7 @@
                     assertNotNull(proxy.serveRequest());
                 }
             }
-            assertEquals(0, proxy.countActions("refuse") + proxy.countActions("log jam"));
+            assertEquals(0, proxy.countActions("refuse") + proxy.countActions("log congestion:"));
         }
 
         @Test
@@ -1047,7 +1047,7 @@
                 proxy.advanceMs(500);
                 abandonedRequests.forEach(request -> proxy.logic.clientGone(proxy.nowUs, request));
             }
-            assertNotEquals(0, proxy.countActions("log jam"));
+            assertNotEquals(0, proxy.countActions("log congestion:"));
         }
 
         @Test
@@ -1062,7 +1062,7 @@
             proxy.advanceMs(500);
             failedRequests.forEach(request -> proxy.endAttempt(request, Outcome.ERROR));
             proxy.sendRequest(SimulatedProxy.SAFE);
-            assertEquals(1, proxy.countActions("log jam"));
+            assertEquals(1, proxy.countActions("log congestion:"));
             proxy.advanceMs(2_000);
             for (int i = 0; i < 20; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.SAFE);
