--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -145,7 +145,7 @@
         // half of the grace.
         this.maxRetryPauseMs = Math.max(MIN_RETRY_PAUSE_MS, Math.min(MAX_RETRY_PAUSE_MS,
                 config.settings().rules().drainGraceUs() / 1000 * 2 / 5));
-        driver.onWatch(this::startCall);
+        driver.onWatchRequested(this::startCall);
     }
 
     /**
@@ -265,7 +265,7 @@
             Bootstrap bootstrap = new Bootstrap().group(loop).channel(TcpChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.RECVBUF_ALLOCATOR,
-                            Sockets.readBuffers().maxMessagesPerRead(READS_PER_LOOP_ITERATION))
+                            Sockets.readBufferAllocator().maxMessagesPerRead(READS_PER_LOOP_ITERATION))
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) DiscoveryWaits.FIRST_CALL_TIMEOUT_MS)
                     .handler(new ChannelInitializer<SocketChannel>() {
                         @Override
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -21,28 +21,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks backends how they are, at the module's word, and tells it what came back. Each probe is told once, by
- * {@link #PROBE_US} at the latest. For the proxy's loop only.
+ * Sends health probes to backends when the decision module asks for them. The result of each probe is
+ * reported once, at the latest when {@link #PROBE_TIMEOUT_US} has passed. For the proxy's loop only.
  */
 final class HealthProbes {
 
     private static final Logger LOG = LoggerFactory.getLogger("proxy");
-    /** A probe without an answer by then has failed; a live backend answers at once, beside its queue. */
-    private static final long PROBE_US = 50_000;
+    /**
+     * A probe without an answer after this time has failed. A live backend answers a probe at once, ahead of
+     * the requests in its queue.
+     */
+    private static final long PROBE_TIMEOUT_US = 50_000;
 
-    /** Hears how a probe ended. */
+    /** Receives the result of a probe. */
     interface Listener {
 
         /**
-         * The probe has ended.
+         * Called when a probe has ended.
          *
-         * @param tookUs since it was asked for
-         * @param report what the backend told of its load; null where it told nothing
+         * @param tookUs the time since the probe was requested
+         * @param report the load reported by the backend; null if it reported none
          */
-        void probed(String server, Outcome outcome, long tookUs, LoadReport report);
+        void probeEnded(String server, Outcome outcome, long tookUs, LoadReport report);
     }
 
-    /** A probe that is out. */
+    /** A probe that has not ended. */
     private static final class Probe {
         final String server;
         final Listener listener;
@@ -60,75 +63,87 @@
     private final Clock clock;
     private final EventLoop loop;
     private final BackendPool pool;
-    private final boolean loadReports;
-    private final Set<Probe> out = new HashSet<>();
+    private final boolean requestLoadReports;
+    private final Set<Probe> pendingProbes = new HashSet<>();
 
-    /** Probes over the pool's connections; {@code loadReports} says whether answers tell the load. */
-    HealthProbes(Clock clock, EventLoop loop, BackendPool pool, boolean loadReports) {
+    /**
+     * Creates probes that use the pool's connections.
+     *
+     * @param requestLoadReports whether to ask backends for their load rather than only for their health
+     */
+    HealthProbes(Clock clock, EventLoop loop, BackendPool pool, boolean requestLoadReports) {
         this.clock = clock;
         this.loop = loop;
         this.pool = pool;
-        this.loadReports = loadReports;
+        this.requestLoadReports = requestLoadReports;
     }
 
-    /** A probe that is not sent: the backend may not be asked. */
-    void skip(String server, Listener listener) {
-        listener.probed(server, Outcome.NOT_SENT, 0, null);
+    /** Reports a probe as not sent, because nothing may be sent to its backend. */
+    void reportNotSent(String server, Listener listener) {
+        listener.probeEnded(server, Outcome.NOT_SENT, 0, null);
     }
 
     /**
      * Sends a probe.
      *
-     * @param barred asked just before the first byte goes out, which may be some time later: whether the
-     *         backend may no longer be asked
+     * @param excluded called just before the first byte is written, which may be some time later; returns
+     *     whether nothing may be sent to the backend any more
      */
-    void send(String server, InetSocketAddress address, BooleanSupplier barred, Listener listener) {
+    void send(String server, InetSocketAddress address, BooleanSupplier excluded, Listener listener) {
         Probe probe = new Probe(server, listener, clock.nowUs());
-        out.add(probe);
-        probe.timeout = loop.schedule(() -> timedOut(probe), PROBE_US, TimeUnit.MICROSECONDS);
+        pendingProbes.add(probe);
+        probe.timeout = loop.schedule(() -> timedOut(probe), PROBE_TIMEOUT_US, TimeUnit.MICROSECONDS);
         try {
-            probe.exchange = pool.begin(address, () -> barred.getAsBoolean() ? null : message(address),
-                    answer -> ended(probe, answer));
+            probe.exchange = pool.startExchange(address,
+                    () -> excluded.getAsBoolean() ? null : buildRequest(address),
+                    answer -> finish(probe, answer));
         } catch (RuntimeException e) {
-            LOG.atError().addKeyValue("backend", server).setCause(e).log("probe not begun");
-            ended(probe, AttemptResult.of(Outcome.NOT_SENT));
+            LOG.atError().addKeyValue("backend", server).setCause(e).log("failed to start the probe");
+            finish(probe, AttemptResult.of(Outcome.NOT_SENT));
         }
     }
 
-    /** Ends what is on its way to a backend and has not begun; told once what goes on now is over. */
-    void endConnecting(String server) {
-        List<Probe> connecting = out.stream()
-                .filter(probe -> probe.server.equals(server) && !probe.exchange.begun()).toList();
-        for (Probe probe : connecting) {
-            probe.exchange.abandon();
-            loop.execute(() -> ended(probe, AttemptResult.of(Outcome.NOT_SENT)));
+    /**
+     * Cancels the probes for a backend of which no byte has been sent yet. Their results are reported in a
+     * later task of the event loop.
+     */
+    void cancelUnsent(String server) {
+        List<Probe> unsent = pendingProbes.stream()
+                .filter(probe -> probe.server.equals(server) && !probe.exchange.hasStarted()).toList();
+        for (Probe probe : unsent) {
+            probe.exchange.cancel();
+            loop.execute(() -> finish(probe, AttemptResult.of(Outcome.NOT_SENT)));
         }
     }
 
     private void timedOut(Probe probe) {
-        probe.exchange.abandon();
-        ended(probe, AttemptResult.of(Outcome.TIMEOUT));
+        probe.exchange.cancel();
+        finish(probe, AttemptResult.of(Outcome.TIMEOUT));
     }
 
-    private FullHttpRequest message(InetSocketAddress address) {
+    private FullHttpRequest buildRequest(InetSocketAddress address) {
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-                loadReports ? "/stats" : "/health/live", Unpooled.EMPTY_BUFFER);
+                requestLoadReports ? "/stats" : "/health/live", Unpooled.EMPTY_BUFFER);
         message.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
         return message;
     }
 
-    private void ended(Probe probe, AttemptResult answer) {
-        if (!out.remove(probe)) {
+    private void finish(Probe probe, AttemptResult answer) {
+        if (!pendingProbes.remove(probe)) {
             return;
         }
         probe.timeout.cancel(false);
-        probe.listener.probed(probe.server, answer.outcome(), clock.nowUs() - probe.sentAtUs, report(answer));
+        probe.listener.probeEnded(probe.server, answer.outcome(), clock.nowUs() - probe.sentAtUs,
+                loadReport(answer));
     }
 
-    private LoadReport report(AttemptResult answer) {
-        if (answer.report() != null || !loadReports) {
+    /**
+     * Returns the load from the answer's header or, if the header is missing, from its body; null if unknown.
+     */
+    private LoadReport loadReport(AttemptResult answer) {
+        if (answer.report() != null || !requestLoadReports) {
             return answer.report();
         }
-        return BackendPool.report(BackendPool.text(answer.body()));
+        return BackendPool.parseLoadReport(BackendPool.asciiText(answer.body()));
     }
 }
--- a/src/main/java/larkworks/proxy/Maintenance.java
+++ b/src/main/java/larkworks/proxy/Maintenance.java
@@ -82,12 +82,12 @@
     private void checkFolder() {
         try {
             openFolder();
-            sockets.share(processLock.isOtherProcessAlive());
+            sockets.setLimitShared(processLock.isOtherProcessAlive());
             Set<String> stored = store.backends();
-            stored.forEach(backend -> driver.maintenance(backend, true));
-            for (String backend : driver.out()) {
+            stored.forEach(backend -> driver.setMaintenance(backend, true));
+            for (String backend : driver.backendsInMaintenance()) {
                 if (!stored.contains(backend)) {
-                    driver.maintenance(backend, false);
+                    driver.setMaintenance(backend, false);
                 }
             }
             lastCheckFailed = false;
@@ -102,7 +102,7 @@
 
     /** Puts a backend in maintenance, or lets it serve again. */
     Result setMaintenance(String backend, boolean inMaintenance) {
-        if (!driver.knows(backend)) {
+        if (!driver.isKnown(backend)) {
             return Result.UNKNOWN_BACKEND;
         }
         try {
@@ -119,7 +119,7 @@
                     .log("can't store an operator's command about a backend; it was not applied");
             return Result.NOT_STORED;
         }
-        driver.maintenance(backend, inMaintenance);
+        driver.setMaintenance(backend, inMaintenance);
         return Result.DONE;
     }
 }
--- a/src/main/java/larkworks/proxy/Meters.java
+++ b/src/main/java/larkworks/proxy/Meters.java
@@ -23,9 +23,9 @@
 import larkworks.transport.SystemError;
 
 /**
- * What a proxy measures, on Micrometer; its timers tell the median, the 90th and the 99th percentile from
- * HdrHistogram. Recording is for the proxy's loop; {@link #scrape} renders on a thread of its own, so that
- * neither waits for the other. There is one of these only where the configuration asks for metrics.
+ * The proxy's metrics, based on Micrometer. Timers report the 50th, 90th and 99th percentiles from
+ * HdrHistogram. Values are recorded on the proxy's loop; {@link #scrape} renders on a separate thread, so
+ * that neither waits for the other. An instance exists only if the configuration enables metrics.
  *
  * <p>Names: {@code larkworks_requests_seconds{class,result}}, {@code larkworks_attempts_seconds{backend,
  * outcome}}, {@code larkworks_retries_total}, {@code larkworks_lists_total{kind}},
@@ -34,109 +34,116 @@
  */
 final class Meters implements AutoCloseable {
 
-    /** How a request was answered. */
+    /** How a request was answered; GONE if its client closed the connection before the answer. */
     enum Result { SERVED, REFUSED, FAILED, GONE }
 
     private static final double[] PERCENTILES = {0.5, 0.9, 0.99};
-    /** Two digits of a percentile would cost ten times the memory of one, for each backend. */
-    private static final int DIGITS = 1;
-    private static final Duration LONGEST = Duration.ofSeconds(60);
+    /** Two significant digits would need ten times the memory of one, for each backend. */
+    private static final int PERCENTILE_DIGITS = 1;
+    private static final Duration MAX_DURATION = Duration.ofSeconds(60);
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final ExecutorService rendering = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService renderer = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "metrics");
         thread.setDaemon(true);
         return thread;
     });
-    private final List<Map<Result, Timer>> requests;
-    private final Map<String, Map<Outcome, Timer>> attempts = new HashMap<>();
+    private final List<Map<Result, Timer>> requestTimers;
+    private final Map<String, Map<Outcome, Timer>> attemptTimers = new HashMap<>();
     private final Counter retries;
-    private final Counter wholeLists;
-    private final Counter changes;
+    private final Counter fullLists;
+    private final Counter listChanges;
     private final Counter discoveryFailures;
 
     Meters(List<RequestClass> classes) {
-        requests = classes.stream().map(kind -> {
+        requestTimers = classes.stream().map(requestClass -> {
             Map<Result, Timer> timers = new EnumMap<>(Result.class);
             for (Result result : Result.values()) {
-                timers.put(result, timer("larkworks.requests", Tags.of("class", kind.name(), "result",
-                        word(result))));
+                timers.put(result, timer("larkworks.requests", Tags.of("class", requestClass.name(), "result",
+                        tagValue(result))));
             }
             return timers;
         }).toList();
         retries = registry.counter("larkworks.retries");
-        wholeLists = registry.counter("larkworks.lists", "kind", "whole");
-        changes = registry.counter("larkworks.lists", "kind", "changes");
+        fullLists = registry.counter("larkworks.lists", "kind", "whole");
+        listChanges = registry.counter("larkworks.lists", "kind", "changes");
         discoveryFailures = registry.counter("larkworks.discovery.failures");
     }
 
     private Timer timer(String name, Tags tags) {
         return Timer.builder(name).tags(tags).publishPercentiles(PERCENTILES)
-                .percentilePrecision(DIGITS).maximumExpectedValue(LONGEST).register(registry);
+                .percentilePrecision(PERCENTILE_DIGITS).maximumExpectedValue(MAX_DURATION).register(registry);
     }
 
-    private static String word(Enum<?> value) {
+    private static String tagValue(Enum<?> value) {
         return value.name().toLowerCase(Locale.ROOT);
     }
 
-    /** A request has its answer. */
-    void answered(int requestClass, Result result, long tookUs) {
-        requests.get(requestClass).get(result).record(tookUs, TimeUnit.MICROSECONDS);
+    /** Records that a request was answered or that its client has gone. */
+    void requestAnswered(int requestClass, Result result, long tookUs) {
+        requestTimers.get(requestClass).get(result).record(tookUs, TimeUnit.MICROSECONDS);
     }
 
-    /** An attempt has ended; {@code number} counts a request's attempts from 0. */
-    void attempted(String backend, int number, Outcome outcome, long tookUs) {
+    /** Records the end of an attempt; {@code number} counts a request's attempts from 0. */
+    void attemptEnded(String backend, int number, Outcome outcome, long tookUs) {
         if (number > 0) {
             retries.increment();
         }
-        attempts.computeIfAbsent(backend, b -> new EnumMap<>(Outcome.class))
+        attemptTimers.computeIfAbsent(backend, b -> new EnumMap<>(Outcome.class))
                 .computeIfAbsent(outcome, o -> timer("larkworks.attempts",
-                        Tags.of("backend", backend, "outcome", word(o))))
+                        Tags.of("backend", backend, "outcome", tagValue(o))))
                 .record(tookUs, TimeUnit.MICROSECONDS);
     }
 
-    /** A list has come; meters of backends it no longer holds are dropped, or they would grow for ever. */
-    void listed(boolean whole, Set<String> present) {
-        (whole ? wholeLists : changes).increment();
-        attempts.entrySet().removeIf(backend -> {
-            boolean gone = !present.contains(backend.getKey());
-            if (gone) {
+    /**
+     * Records that a list was received. Removes the meters of backends that are no longer listed, as their
+     * number would otherwise grow without limit.
+     */
+    void listReceived(boolean isFullList, Set<String> listedBackends) {
+        (isFullList ? fullLists : listChanges).increment();
+        attemptTimers.entrySet().removeIf(backend -> {
+            boolean removed = !listedBackends.contains(backend.getKey());
+            if (removed) {
                 backend.getValue().values().forEach(registry::remove);
             }
-            return gone;
+            return removed;
         });
     }
 
-    /** A call to discovery has failed. */
+    /** Records that a call to discovery failed. */
     void discoveryFailed() {
         discoveryFailures.increment();
     }
 
-    /** An invariant did not hold. */
-    void violated(Invariants.Rule rule) {
-        registry.counter("larkworks.invariant.violations", "rule", word(rule)).increment();
+    /** Records the violation of an invariant. */
+    void invariantViolated(Invariants.Rule rule) {
+        registry.counter("larkworks.invariant.violations", "rule", tagValue(rule)).increment();
     }
 
-    /** A connection could not be accepted. */
+    /** Records that a connection could not be accepted. */
     void acceptFailed(SystemError error) {
-        registry.counter("larkworks.accept.failures", "error", word(error)).increment();
+        registry.counter("larkworks.accept.failures", "error", tagValue(error)).increment();
     }
 
-    /** Has a figure told that is looked at when scraped, from another thread: it must be safe to read. */
-    <T> void gauge(String name, T of, ToDoubleFunction<T> figure, String... tags) {
-        Gauge.builder(name, of, figure).tags(tags).strongReference(true).register(registry);
+    /**
+     * Registers a gauge whose value is read at each scrape. It is read on another thread, so the value must
+     * be safe to read from there.
+     */
+    <T> void registerGauge(String name, T source, ToDoubleFunction<T> value, String... tags) {
+        Gauge.builder(name, source, value).tags(tags).strongReference(true).register(registry);
     }
 
     /**
-     * Renders all meters in Prometheus' text format 0.0.4, and hands the text over on the rendering thread.
+     * Renders all meters in the Prometheus text format 0.0.4, and passes the text to {@code textConsumer} on
+     * the rendering thread.
      */
-    void scrape(Consumer<String> taker) {
-        rendering.execute(() -> taker.accept(registry.scrape()));
+    void scrape(Consumer<String> textConsumer) {
+        renderer.execute(() -> textConsumer.accept(registry.scrape()));
     }
 
     @Override
     public void close() {
-        rendering.shutdown();
+        renderer.shutdown();
         registry.close();
     }
 }
--- a/src/main/java/larkworks/proxy/Sockets.java
+++ b/src/main/java/larkworks/proxy/Sockets.java
@@ -11,142 +11,169 @@
 import java.util.function.Consumer;
 
 /**
- * Counts the sockets of this process against its limit. At the limit, connections that only wait for their
- * clients to close go first, then strangers' silent ones, idle ones to backends, and idle ones of clients: a
- * request in flight outweighs a handshake saved.
+ * Counts the sockets of this process against its descriptor limit and closes connections to stay below it.
+ * They are closed in this order: connections that only wait for their clients to close, silent unproven
+ * connections, idle connections to backends, idle connections of clients. Connections with a request in
+ * flight are kept. Only for the proxy's loop, except {@link #openCount}.
  */
 final class Sockets {
 
-    /** Descriptors for the jar, the selector, standard streams, the listener and discovery. */
-    private static final int RESERVE = 48;
+    /** Descriptors reserved for the jar, the selector, the standard streams, the listener and discovery. */
+    private static final int RESERVED_DESCRIPTORS = 48;
 
     private final int limit;
-    private final int apart;
-    private int most;
-    /** Backends leave this part of the descriptors to clients, whose requests would else be lost unread. */
-    private int mostForBackends;
+    /** The number of descriptors for connections that are not counted here. */
+    private final int uncounted;
+    /** The maximum number of counted sockets. */
+    private int maxOpen;
+    /**
+     * The maximum number of counted sockets with which a connection to a backend may still be opened. The
+     * rest is left to clients: without a descriptor their connections can't be accepted, and their requests
+     * are lost.
+     */
+    private int maxOpenForBackends;
     private List<BooleanSupplier> evictors = List.of();
-    private Runnable freed = () -> { };
-    /** Changed on the loop only; metrics read it. */
-    private volatile int open;
+    private Runnable releaseAction = () -> { };
+    /** The number of counted sockets. Changed on the loop only; read by the metrics thread as well. */
+    private volatile int openCount;
 
-    /** Divides the limit; {@code apart} of it are for connections that are not counted here. */
-    Sockets(int limit, int apart) {
+    /**
+     * Creates a count of sockets with a limit.
+     *
+     * @param limit the number of descriptors that this process may use
+     * @param uncounted how many of them are for connections that are not counted here
+     */
+    Sockets(int limit, int uncounted) {
         this.limit = limit;
-        this.apart = apart;
-        divide(limit);
+        this.uncounted = uncounted;
+        updateMaximums(limit);
     }
 
-    private void divide(int all) {
-        int left = all - apart;
-        most = Math.max(2, left - Math.min(RESERVE, left / 2));
-        mostForBackends = Math.max(1, most - most / 8);
+    /** Derives the maximum numbers of sockets from the number of descriptors. */
+    private void updateMaximums(int descriptors) {
+        int counted = descriptors - uncounted;
+        maxOpen = Math.max(2, counted - Math.min(RESERVED_DESCRIPTORS, counted / 2));
+        maxOpenForBackends = Math.max(1, maxOpen - maxOpen / 8);
     }
 
-    /** Whether another process of this proxy has a part in the limit. */
-    void share(boolean shared) {
-        divide(shared ? limit / 2 : limit);
-        makeRoom(most + 1);
+    /** Sets whether another process of this proxy shares the limit, which leaves half of it to each. */
+    void setLimitShared(boolean shared) {
+        updateMaximums(shared ? limit / 2 : limit);
+        evictUntilBelow(maxOpen + 1);
     }
 
-    /** What is read at a time: enough for large bodies, and little where many come at once. */
-    static AdaptiveRecvByteBufAllocator readBuffers() {
+    /**
+     * Returns an allocator for read buffers that grow with the size of recent reads: large enough for large
+     * bodies, yet small when many connections are read at once.
+     */
+    static AdaptiveRecvByteBufAllocator readBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(512, 2048, 32 << 10);
     }
 
-    /** Ways to close a connection, the one that can best be done without first; each false where none is. */
-    void evictors(BooleanSupplier... ways) {
-        evictors = List.of(ways);
+    /**
+     * Sets the functions that close a connection when sockets run short, in the order in which they are
+     * tried. Each returns false if it has no connection to close.
+     */
+    void setEvictors(BooleanSupplier... functions) {
+        evictors = List.of(functions);
     }
 
-    void onFreed(Runnable action) {
-        freed = action;
+    /** Sets the action to run whenever a counted socket is released. */
+    void onRelease(Runnable action) {
+        releaseAction = action;
     }
 
-    /** Closes connections until fewer than so many are open, or none is left to close. */
-    private void makeRoom(int bound) {
-        while (open >= bound && freeOne()) {
-            // Each turn closes one connection, whose closing calls release.
+    /** Closes connections until fewer than {@code bound} are open or none is left to close. */
+    private void evictUntilBelow(int bound) {
+        while (openCount >= bound && evictOne()) {
+            // Each iteration closes one connection, and its close calls release().
         }
     }
 
-    /** Closes the connection that can best be done without; false where none can. */
-    boolean freeOne() {
+    /** Closes the most dispensable connection; returns false if none can be closed. */
+    boolean evictOne() {
         return evictors.stream().anyMatch(BooleanSupplier::getAsBoolean);
     }
 
-    /** Takes a socket for a connection to a backend; false where none is left. */
-    boolean take() {
-        makeRoom(mostForBackends);
-        if (open >= mostForBackends) {
+    /** Counts a socket for a new connection to a backend; returns false if none is available. */
+    boolean tryAcquire() {
+        evictUntilBelow(maxOpenForBackends);
+        if (openCount >= maxOpenForBackends) {
             return false;
         }
-        open++;
+        openCount++;
         return true;
     }
 
     /**
-     * Connects with a socket that was taken, which counts until the connection has closed.
+     * Opens a connection for which {@link #tryAcquire} has counted a socket. The socket counts until the
+     * connection has closed.
      *
-     * @param told on the loop, never before this returns, whether it came up; null: the system gave no socket
-     * @return the connection on its way, or null where the system gave no socket
+     * @param onConnected called on the loop, never before this method returns, with the result of the
+     *     connection attempt; called with null if the system provided no socket
+     * @return the channel that is being connected, or null if the system provided no socket
      */
     Channel connect(Bootstrap bootstrap, EventLoop loop, InetSocketAddress address,
-            Consumer<ChannelFuture> told) {
-        return connect(bootstrap, loop, address, this::release, told);
+            Consumer<ChannelFuture> onConnected) {
+        return connect(bootstrap, loop, address, this::release, onConnected);
     }
 
     /**
-     * Connects to discovery. Its one connection is part of the reserve: it needs no socket to be taken, so
-     * that it waits for none and costs nobody else's connection, whoever holds all the others.
+     * Opens the connection to discovery, which uses a reserved descriptor. It is not counted, so that it can
+     * be opened even when all counted sockets are in use, without closing another connection.
      *
      * @see #connect(Bootstrap, EventLoop, InetSocketAddress, Consumer)
      */
     Channel connectReserved(Bootstrap bootstrap, EventLoop loop, InetSocketAddress address,
-            Consumer<ChannelFuture> told) {
-        return connect(bootstrap, loop, address, () -> { }, told);
+            Consumer<ChannelFuture> onConnected) {
+        return connect(bootstrap, loop, address, () -> { }, onConnected);
     }
 
     private static Channel connect(Bootstrap bootstrap, EventLoop loop, InetSocketAddress address,
-            Runnable ended, Consumer<ChannelFuture> told) {
+            Runnable onClosed, Consumer<ChannelFuture> onConnected) {
         ChannelFuture connecting;
         try {
             connecting = bootstrap.connect(address);
         } catch (RuntimeException e) {
-            // Nothing was opened, so nothing will tell of its closing.
-            ended.run();
+            // No channel was opened, so no close listener will release the socket.
+            onClosed.run();
             throw e;
         }
         if (!connecting.channel().isRegistered() && connecting.isDone()) {
-            // Such a channel has no loop: it never tells of its closing, and its listeners run elsewhere.
-            ended.run();
-            loop.execute(() -> told.accept(null));
+            // A channel that could not be registered has no event loop: its close future never completes, and
+            // its listeners run on another thread.
+            onClosed.run();
+            loop.execute(() -> onConnected.accept(null));
             return null;
         }
-        connecting.channel().closeFuture().addListener(closed -> ended.run());
-        connecting.addListener(done -> told.accept(connecting));
+        connecting.channel().closeFuture().addListener(closed -> onClosed.run());
+        connecting.addListener(done -> onConnected.accept(connecting));
         return connecting.channel();
     }
 
-    /** Counts a client's connection, which is there already; false where there should be no further one. */
-    boolean accepted() {
-        open++;
-        makeRoom(most);
-        return open < most;
+    /**
+     * Counts a connection that was accepted from a client, and closes others if there are too many. Returns
+     * false if no further connection should be accepted for now.
+     */
+    boolean addAccepted() {
+        openCount++;
+        evictUntilBelow(maxOpen);
+        return openCount < maxOpen;
     }
 
-    /** Connections open now. */
-    int open() {
-        return open;
+    /** Returns the number of counted sockets. */
+    int openCount() {
+        return openCount;
     }
 
-    /** The sockets that are counted are as many as none or more. */
-    boolean consistent() {
-        return open >= 0;
+    /** Returns whether the count of sockets is consistent, that is, not negative. */
+    boolean isConsistent() {
+        return openCount >= 0;
     }
 
+    /** Ends the counting of a socket whose connection has closed. */
     void release() {
-        open--;
-        freed.run();
+        openCount--;
+        releaseAction.run();
     }
 }
