--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -45,11 +45,11 @@
         bench.at(Bench.freePort());
         Path config = Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), knownList)
                 .replace('"' + bench.discovery.address() + '"', discoveryJson));
-        relay.refuse(true);
+        relay.setRefusing(true);
         proxy = new Program("", Map.of("GW_CONFIG", config.toString()), "proxy");
-        Program.await(20, proxy.lines::toString, () -> relay.refused.get() > 2);
+        Program.await(20, proxy.lines::toString, () -> relay.refusedConnections.get() > 2);
         assertEquals(1, bench.served(), "must be served by the known list while the registry is unreachable");
-        relay.refuse(false);
+        relay.setRefusing(false);
         awaitServedBy(0);
     }
 
@@ -64,11 +64,11 @@
     private void startRegistry(String folderName) throws Exception {
         registry = new Program("", Map.of(), "registry", "--listen", "127.0.0.1:0", "--data",
                 folder.resolve(folderName).toString());
-        registryClient = new Caller((String) registry.logged("serving").get("address"));
+        registryClient = new Caller((String) registry.awaitLogLine("serving").get("address"));
     }
 
     private InetSocketAddress registryAddress() throws Exception {
-        return Addresses.parse(registry.logged("serving").get("address"));
+        return Addresses.parse(registry.awaitLogLine("serving").get("address"));
     }
 
     private void register(int backend) throws Exception {
@@ -91,25 +91,25 @@
     @Test
     void servesFromTheLastListThroughAnOutageAndConvergesAfterIt() throws Exception {
         startProxy("[\"127.0.0.1:1\",\"" + relay.address() + "\"]");  // nothing listens at the first address
-        relay.refuse(true);
+        relay.setRefusing(true);
         registry.kill();
-        int refusedBefore = relay.refused.get();
+        int refusedBefore = relay.refusedConnections.get();
         // The outage lasts for several attempts, until well after the pause between them is at its maximum.
-        Program.await(30, proxy.lines::toString, () -> relay.refused.get() >= refusedBefore + 7);
+        Program.await(30, proxy.lines::toString, () -> relay.refusedConnections.get() >= refusedBefore + 7);
         assertEquals(0, bench.served());
         startRegistry("data");
-        relay.target(registryAddress());
+        relay.setTarget(registryAddress());
         registryClient.status("b0", "terminating");
         register(1);
         assertEquals(0, bench.served(), "the proxy has not received the new list yet");
-        relay.refuse(false);
+        relay.setRefusing(false);
         awaitServedBy(1);
     }
 
     @Test
     void appliesChangesThoughAConnectionStopsDelivering() throws Exception {
         startProxy('"' + relay.address() + '"');
-        relay.silence();
+        relay.blackholeOpenConnections();
         register(1);
         registryClient.status("b0", "terminating");
         awaitServedBy(1);
@@ -118,14 +118,14 @@
     @Test
     void ignoresChangesToAnotherList() throws Exception {
         startProxy('"' + relay.address() + '"');
-        relay.refuse(true);
+        relay.setRefusing(true);
         registry.kill();
         startRegistry("other");  // the data is lost: its index exceeds the old one, b0 was never in it
         registryClient.register("x", "127.0.0.1:2", "");
         registryClient.status("x", "terminated");
         register(1);
-        relay.target(registryAddress());
-        relay.refuse(false);
+        relay.setTarget(registryAddress());
+        relay.setRefusing(false);
         awaitServedBy(1);
         for (int i = 0; i < 10; i++) {
             assertEquals(1, bench.served(), "b0 is in no list of the new registry");
