--- a/src/test/java/larkworks/proxy/BackendPoolTest.java
+++ b/src/test/java/larkworks/proxy/BackendPoolTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Exchanges with a backend on real connections. */
+/** Tests exchanges between the pool and a backend over real connections. */
 @Timeout(120)
 class BackendPoolTest {
 
@@ -65,12 +65,15 @@
         return outcomes.poll(Peer.LIMIT_S, TimeUnit.SECONDS);
     }
 
-    /** Lets the time pass in which connections that just brought an answer are not used again. */
+    /** Waits until a connection that has just carried an answer can be reused. */
     static void letRest() throws InterruptedException {
         Thread.sleep(BackendPool.REUSE_DELAY_MS + 1);
     }
 
-    /** Running out says nothing of the backend: the attempt was not sent, and the next one may be. */
+    /**
+     * If no descriptor is left, an attempt ends as not sent, which is no failure of the backend. Later
+     * attempts are sent again.
+     */
     @Test
     void endsAnAttemptAsNotSentWhereNoDescriptorIsLeft() throws Exception {
         BackendPool pool = pool(new Sockets(4, 0));
@@ -89,7 +92,10 @@
         assertEquals(2, backend.connections());
     }
 
-    /** Where the system itself has none, the receiver hears of it on the loop, and nothing stays counted. */
+    /**
+     * If the system provides no socket, the receiver is notified on the event loop, and the socket is not
+     * counted any more.
+     */
     @Test
     void tellsOnTheLoopThatTheSystemGaveNoSocket() throws Exception {
         Sockets sockets = new Sockets(16, 0);
@@ -109,7 +115,8 @@
                     });
             outcomes.add(exchange.hasStarted() ? Outcome.OK : Outcome.CANCELLED);
         });
-        assertEquals(Outcome.CANCELLED, outcome(), "nothing is told before the exchange is handed out");
+        assertEquals(Outcome.CANCELLED, outcome(),
+                "the receiver must not be notified before startExchange has returned");
         assertEquals(Outcome.NOT_SENT, outcome());
         assertEquals(true, onLoop.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
         assertEquals(0, sockets.openCount());
@@ -147,7 +154,7 @@
         begin(pool, backend, request());
         backend.next().reply(200, "");
         assertEquals(Outcome.OK, outcome());
-        assertEquals(1, backend.connections(), "the connection was of use to the next");
+        assertEquals(1, backend.connections(), "the next request must reuse the connection");
         assertEquals(0, backend.waiting());
     }
 
@@ -155,7 +162,7 @@
     void aRequestThatCanNotBeWrittenDownLeavesTheConnectionUsable() throws Exception {
         BackendPool pool = pool(new Sockets(16, 0));
         group.next().execute(() -> pool.startExchange(Config.address(backend.address()), () -> {
-            throw new IllegalArgumentException("as a header with a line break would");
+            throw new IllegalArgumentException("simulated: a header contains a line break");
         }, a -> outcomes.add(a.outcome())));
         assertEquals(Outcome.NOT_SENT, outcome());
         begin(pool, backend, request());
@@ -175,7 +182,10 @@
         assertEquals(Outcome.CONNECT_FAILED, outcome());
     }
 
-    /** The body behind such a line is as well framed as any other, but may not be what the backend meant. */
+    /**
+     * Each of these answers is malformed or unsupported. Its body may still be framed correctly, but need not
+     * be what the backend meant.
+     */
     @ParameterizedTest
     @ValueSource(strings = {
         "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2\r\n\r\nab",
@@ -198,7 +208,10 @@
         sent.awaitEnd();
     }
 
-    /** What had come by the reset was served as the whole body. */
+    /**
+     * Guards against a truncated answer that is served as complete. A body without a declared length ends
+     * when the connection is closed, but a reset is no such end.
+     */
     @Test
     void takesABodyThatAResetCutsForNoAnswer() throws Exception {
         BackendPool pool = pool(new Sockets(64, 0));
@@ -216,7 +229,7 @@
         assertEquals(Outcome.OK, outcome());
     }
 
-    /** Begins an exchange, and the next as soon as it has ended; returns the bodies of their answers. */
+    /** Starts an exchange, and another as soon as it has ended; returns the bodies of both answers. */
     private BlockingQueue<String> askTwice() {
         BackendPool pool = pool(new Sockets(16, 0));
         InetSocketAddress address = Config.address(backend.address());
@@ -229,7 +242,7 @@
         return bodies;
     }
 
-    /** The next request was given the second of two answers to the one before. */
+    /** Guards against a request that is given the second of two answers to the previous request. */
     @Test
     void givesNoRequestWhatCameBehindTheAnswerToAnother() throws Exception {
         BlockingQueue<String> bodies = askTwice();
@@ -242,7 +255,10 @@
         assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
     }
 
-    /** Nor a second answer that comes some milliseconds late: the next request takes another connection. */
+    /**
+     * Guards against a request that is given a second answer to the previous request, sent some milliseconds
+     * after the first one. The next request must use another connection.
+     */
     @Test
     void givesNoRequestASecondAnswerThatComesLate() throws Exception {
         BlockingQueue<String> bodies = askTwice();
@@ -256,7 +272,10 @@
         sent.awaitEnd();
     }
 
-    /** The loop is held up while a second answer comes, and for longer than a connection rests. */
+    /**
+     * Guards against a request that is given a second answer to the previous request. The event loop is
+     * blocked for longer than the reuse delay, so that this answer is still unread when the delay is over.
+     */
     @Test
     void givesNoRequestASecondAnswerThatLayUnreadWhileTheLoopWasLate() throws Exception {
         BackendPool pool = pool(new Sockets(16, 0));
--- a/src/test/java/larkworks/proxy/DescriptorReserveTest.java
+++ b/src/test/java/larkworks/proxy/DescriptorReserveTest.java
@@ -22,17 +22,23 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Descriptors run out while discovery is down: what the reserve is for keeps working. */
+/**
+ * Tests that discovery, backends and the admin address keep working from the reserved descriptors when
+ * descriptors run out.
+ */
 @Timeout(120)
 class DescriptorReserveTest {
 
-    /** Idle clients that connect and ask nothing. */
+    /** The number of clients that connect at a time without sending a request. */
     private static final int CROWD = 300;
 
     @TempDir
     Path folder;
 
-    /** Requests in flight hold every socket there is, none of which may be closed for discovery. */
+    /**
+     * Discovery must stay reachable while requests in flight use all counted sockets, none of which may be
+     * closed.
+     */
     @Test
     void reachesDiscoveryThoughRequestsInFlightHoldAllSockets() throws Exception {
         try (Bench bench = new Bench(2)) {
@@ -40,10 +46,10 @@
             bench.drainGraceUs = 5_000_000;
             bench.start(folder);
             for (int i = 0; i < 6; i++) {
-                // Down for some calls: their pauses have grown to most of a second then.
+                // After these failed calls the delay before the next call is most of a second.
                 bench.discovery.next().reply(503, "");
             }
-            // Of eight descriptors four are for connections: two clients', and one to each backend.
+            // Four of the eight descriptors are for connections: two from clients, one to each backend.
             Bench.Client one = bench.client().look("one");
             Peer.Message first = bench.backends.get(bench.awaitBackend()).next();
             Bench.Client other = bench.client().look("other");
@@ -51,22 +57,23 @@
             Peer.Message again = bench.discovery.next();
             again.reply(200, Bench.list(2, true, bench.entry(0, "terminating"),
                     bench.entry(1, "terminating")));
-            assertTrue(bench.discovery.next().line().contains("index=2"), "the drain was taken");
+            assertTrue(bench.discovery.next().line().contains("index=2"),
+                    "the list with the drain must be applied");
             first.reply(200, "");
             second.reply(200, "");
-            assertEquals(200, one.status(), "was in flight all the time");
-            assertEquals(200, other.status(), "was in flight all the time");
+            assertEquals(200, one.status(), "the request was in flight during the drain");
+            assertEquals(200, other.status(), "the request was in flight during the drain");
         }
     }
 
-    /** A reconnect closes nobody's connection, also where all sockets are taken. */
+    /** A connection to discovery must not close another one, even if all counted sockets are in use. */
     @Test
     void connectsToDiscoveryWithoutClosingAnotherConnection() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Peer discovery = new Peer()) {
             Sockets sockets = new Sockets(4, 0);
             sockets.setEvictors(() -> {
-                throw new AssertionError("a connection is closed");
+                throw new AssertionError("a connection was closed for the one to discovery");
             });
             assertTrue(sockets.tryAcquire());
             int before = sockets.openCount();
@@ -76,22 +83,24 @@
             Channel channel = sockets.connectReserved(bootstrap, group.next(),
                     Config.address(discovery.address()), connected -> up.setSuccess(connected.isSuccess()));
             assertTrue(up.get(Peer.LIMIT_S, TimeUnit.SECONDS));
-            assertEquals(before, sockets.openCount(), "counted apart");
+            assertEquals(before, sockets.openCount(), "the connection to discovery must not be counted");
             channel.close().sync();
-            assertEquals(before, sockets.openCount(), "nothing is given back that was not taken");
+            assertEquals(before, sockets.openCount(),
+                    "closing an uncounted connection must not change the count");
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
     /**
-     * A process that the system gives no more descriptors than the settings say, with hundreds of idle
-     * clients, discovery down and then back with a drain: it hears of it, serves, and answers the operators.
+     * The process has a descriptor limit equal to its settings and hundreds of idle clients. Discovery fails
+     * and then returns with a drain. The process must apply the drain, serve requests and answer on its admin
+     * address.
      */
     @Test
     void aCrowdOfIdleClientsKeepsNeitherDiscoveryNorBackendsNorOperatorsOut() throws Exception {
         int descriptors = 128;
-        // In service there is one jar; here the system counts each of the tests' own.
+        // In production there is one jar on the class path; here each jar needs a descriptor.
         int jars = System.getProperty("java.class.path").split(File.pathSeparator).length;
         int listen = Bench.freePort();
         int admin = Bench.freePort();
@@ -116,11 +125,12 @@
                 Peer.Message back = bench.discovery.next();
                 back.reply(200, Bench.list(3, true, bench.entry(0, "terminating"),
                         bench.entry(1, "in_service")));
-                assertTrue(bench.discovery.next().line().contains("index=3"), "the drain was taken");
+                assertTrue(bench.discovery.next().line().contains("index=3"),
+                        "the list with the drain must be applied");
                 for (int i = 0; i < 5; i++) {
                     assertEquals(1, bench.served());
                 }
-                assertTrue(ready(admin), "the operators' address answers");
+                assertTrue(ready(admin), "the admin address must answer");
                 assertFalse(proxy.lines.toString().contains("Too many open files"), proxy.lines::toString);
             }
         }
--- a/src/test/java/larkworks/proxy/HealthProbesTest.java
+++ b/src/test/java/larkworks/proxy/HealthProbesTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Each probe is told once, whatever comes of it. */
+/** Tests that the result of each probe is reported exactly once, whatever it is. */
 @Timeout(120)
 class HealthProbesTest {
 
-    /** What a probe's listener heard. */
+    /** The result that was reported to a probe's listener. */
     private record Heard(Outcome outcome, LoadReport report) { }
 
     private final MultiThreadIoEventLoopGroup group =
@@ -68,7 +68,7 @@
         assertEquals(Outcome.NOT_SENT, next().outcome());
         loop.submit(() -> { }).get();
         send(Config.address(backend.address()));
-        assertEquals(Outcome.TIMEOUT, next().outcome(), "and nothing more comes of the first");
+        assertEquals(Outcome.TIMEOUT, next().outcome(), "the first probe must not be reported again");
         assertNull(heard.poll());
     }
 }
--- a/src/test/java/larkworks/proxy/MemoryExperiment.java
+++ b/src/test/java/larkworks/proxy/MemoryExperiment.java
@@ -14,28 +14,29 @@
 import larkworks.Program;
 
 /**
- * Issue 20's figures of memory, not a test, from the root after a build:
- * {@code java -cp CLASSES larkworks.proxy.MemoryExperiment N[,N...]}. One process of {@code run} with N
- * servers listed, alone and as a member among N proxies; prints its resident memory, the greatest so far,
- * and its heap after a collection, idle, after requests, and after the whole list has come some times anew.
+ * Measures the memory of a proxy. This is not a test; run it from the root directory after a build with
+ * {@code java -cp CLASSES larkworks.proxy.MemoryExperiment N[,N...]}. It starts one process, with the deploy
+ * file's {@code run} command, with N servers listed, first on its own and then as one of N members. It prints
+ * the resident memory, its peak so far, and the heap after a garbage collection: when the process is idle,
+ * after requests, and after it has received the full list several times.
  */
 public final class MemoryExperiment {
 
     private static final int REQUESTS = 5_000;
     private static final int CHANGES = 20;
 
-    /** A generation of the heap. */
+    /** The size and use of one generation of the heap, as {@code jcmd PID GC.heap_info} prints them. */
     private static final Pattern USED = Pattern.compile("generation +total (\\d+)K, used (\\d+)K");
 
     private MemoryExperiment() { }
 
-    /** Runs the experiment; arguments as above. */
+    /** Runs the experiment; the class comment describes the arguments. */
     public static void main(String[] args) throws Exception {
         for (String n : args[0].split(",")) {
             measure(Integer.parseInt(n), false);
             measure(Integer.parseInt(n), true);
         }
-        System.exit(0);  // the backend's server leaves threads that hold the process
+        System.exit(0);  // the backend's server leaves threads that keep the process alive
     }
 
     private static void measure(int size, boolean members) throws Exception {
@@ -60,7 +61,7 @@
                 asked.reply(200, LargeFleet.list(2, true, size, i -> address, i -> "in_service"));
                 asked = bench.discovery.next();
                 Bench.Client client = connect(port);
-                Program.await(30, () -> "not ready", () -> status(client,
+                Program.await(30, () -> "the proxy is not ready", () -> status(client,
                         "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200);
                 tell(size, members, "idle", run);
                 for (int i = 0; i < REQUESTS; i++) {
@@ -69,12 +70,12 @@
                         throw new IllegalStateException("request " + i + " was not served");
                     }
                 }
-                tell(size, members, REQUESTS + " requests", run);
+                tell(size, members, "after " + REQUESTS + " requests", run);
                 for (int i = 0; i < CHANGES; i++) {
                     asked.reply(200, LargeFleet.list(3 + i, true, size, at -> address, at -> "in_service"));
                     asked = bench.discovery.next();
                 }
-                tell(size, members, CHANGES + " whole lists", run);
+                tell(size, members, "after " + CHANGES + " full lists", run);
             }
         }
         backend.stop(0);
@@ -82,7 +83,7 @@
 
     private static Bench.Client connect(int port) throws Exception {
         Socket[] socket = new Socket[1];
-        Program.await(30, () -> "nobody listens", () -> {
+        Program.await(30, () -> "the proxy does not listen", () -> {
             try {
                 socket[0] = new Socket(InetAddress.getByName(Bench.HOST), port);
                 socket[0].setSoTimeout(30_000);
@@ -103,12 +104,12 @@
     }
 
     private static void tell(int size, boolean members, String after, RunCommand run) throws Exception {
-        System.out.printf("servers=%d members=%d after %s: resident=%d kB most=%d kB, heap after a "
+        System.out.printf("servers=%d members=%d %s: resident=%d kB peak=%d kB, heap after a "
                 + "collection: %s%n", size, members ? size : 0, after, run.memoryKb("VmRSS"),
                 run.memoryKb("VmHWM"), heap(run.process.pid()));
     }
 
-    /** The heap's use as {@code jcmd} tells it, after the collection that {@code GC.run} asks for. */
+    /** Returns the used and total size of the heap after a garbage collection. */
     private static String heap(long pid) throws Exception {
         jcmd(pid, "GC.run");
         Matcher used = USED.matcher(jcmd(pid, "GC.heap_info"));
--- a/src/test/java/larkworks/proxy/PlatformBench.java
+++ b/src/test/java/larkworks/proxy/PlatformBench.java
@@ -24,9 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What logs and metrics cost the proxy's loop for each request (issue 8): a debug line that is off, one
- * that is on (built and queued; the queue drops when its thread can't keep up), and a request's and an
- * attempt's timers. Run: see docs/ROADMAP.md, standard error to a file.
+ * Measures what logs and metrics cost the proxy's event loop per request: a debug line that is disabled, one
+ * that is enabled (built and queued; the queue drops lines if its thread can't keep up), and the timers of a
+ * request and an attempt. docs/ROADMAP.md says how to run it; redirect standard error to a file.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -40,7 +40,7 @@
     private Logger on;
     private Meters meters;
 
-    /** Logs at level info, but for one component. */
+    /** Starts logging at level info, except for the component {@code on}, which logs at level debug. */
     @Setup
     public void setUp() {
         Logs.start(new LogSettings(org.slf4j.event.Level.INFO, Map.of("on", org.slf4j.event.Level.DEBUG)),
@@ -48,7 +48,7 @@
         off = LoggerFactory.getLogger("off");
         on = LoggerFactory.getLogger("on");
         if (((ch.qos.logback.classic.Logger) off).getEffectiveLevel() != Level.INFO) {
-            throw new IllegalStateException("debug is not off");
+            throw new IllegalStateException("the level of logger 'off' must be info");
         }
         meters = new Meters(List.of(new RequestClass("look", 200_000, 1_000_000, 1, 0, Effect.SAFE,
                 DedupGroup.ALL, 0)));
--- a/src/test/java/larkworks/proxy/ProxyFleet.java
+++ b/src/test/java/larkworks/proxy/ProxyFleet.java
@@ -22,18 +22,18 @@
 import larkworks.registry.Caller;
 
 /**
- * A fleet for tests: proxy processes whose datagrams pass the {@link UdpRelay}, our list service's process,
- * and backends that answer at once and note when each request came.
+ * A fleet for tests: proxy processes whose datagrams pass through the {@link UdpRelay}, a process of the list
+ * service, and backends that answer all requests and record when each request arrived.
  */
 final class ProxyFleet implements AutoCloseable {
 
     final UdpRelay relay;
-    /** Where the list service listens, before and after a restart. */
+    /** The address of the list service, which stays the same when it is restarted. */
     final String discovery;
     Program service;
     final Caller registry;
     final List<Program> proxies = new ArrayList<>();
-    /** When requests came, by backend, in ms of one monotonic clock. */
+    /** The arrival times of the requests by backend name, in ms of one monotonic clock. */
     final Map<String, Queue<Long>> arrivals = new ConcurrentHashMap<>();
     private final List<HttpServer> backends = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
@@ -41,7 +41,11 @@
     private final List<Path> configs = new ArrayList<>();
     private final Path folder;
 
-    /** @param tables further tables of each proxy's configuration, as JSON members, each with its comma */
+    /**
+     * Starts the list service and writes the configurations of the proxies.
+     *
+     * @param tables further members of each proxy's JSON configuration, each followed by a comma
+     */
     ProxyFleet(int size, Path folder, String tables, long coldUs) throws Exception {
         this.folder = folder;
         List<InetSocketAddress> backs = new ArrayList<>();
@@ -78,7 +82,10 @@
         }
     }
 
-    /** A free port, no other's here: the system gives one twice among a hundred, once it is closed again. */
+    /**
+     * Returns a free port that this fleet doesn't use yet. A port that was closed again may be returned a
+     * second time by the system; this happens among a hundred ports.
+     */
     private int port() throws IOException {
         int port = Bench.freePort();
         while (ports.contains(port) || admins.contains(port)) {
@@ -91,35 +98,36 @@
         return "\"" + a.getAddress().getHostAddress() + ":" + a.getPort() + "\"";
     }
 
-    /** Starts the list service, anew where it ran before. */
+    /** Starts or restarts the list service. */
     void startService() throws Exception {
         service = new Program("", Map.of(), "registry", "--listen", discovery, "--data",
                 folder.resolve("registry").toString());
         service.logged("serving");
     }
 
-    /** Starts proxy i, anew where it ran before. */
+    /** Starts or restarts the proxy with index {@code i}. */
     void start(int i) throws Exception {
         Path own = Files.createDirectories(folder.resolve("tmp" + i));
         proxies.set(i, new Program("", Map.of("GW_CONFIG", configs.get(i).toString(), "GW_ADMIN_ADDR",
                 Bench.HOST + ":" + admins.get(i), "TMPDIR", own.toString()), "proxy"));
     }
 
-    /** Starts all, and waits until each is ready. */
+    /** Starts all proxies and waits until each is ready. */
     void start() throws Exception {
         for (int i = 0; i < proxies.size(); i++) {
             start(i);
         }
-        Program.await(180, () -> "not all ready", () -> java.util.stream.IntStream.range(0, proxies.size())
-                .allMatch(i -> ask(i, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200));
+        Program.await(180, () -> "not all proxies are ready",
+                () -> java.util.stream.IntStream.range(0, proxies.size())
+                        .allMatch(i -> ask(i, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200));
     }
 
-    /** A backend that answers at once, listed under this name. */
+    /** Starts a backend that answers at once, and registers it under the given name. */
     void backend(String name, long sinceMs) throws Exception {
         backend(name, sinceMs, 0);
     }
 
-    /** A backend that answers after so many ms. */
+    /** Starts a backend that answers after {@code afterMs}, and registers it under the given name. */
     void backend(String name, long sinceMs, int afterMs) throws Exception {
         Queue<Long> came = new ConcurrentLinkedQueue<>();
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 256);
@@ -144,7 +152,7 @@
         list(name, server.getAddress().getPort(), sinceMs);
     }
 
-    /** Lists an address, where perhaps nobody listens. */
+    /** Registers a server with the list service, whether or not it listens on the port. */
     void list(String name, int port, long sinceMs) throws Exception {
         Caller.Answer answer = registry.register(name, "127.0.0.1:" + port, ",\"since_ms\":" + sinceMs);
         if (answer.status() != 200) {
@@ -163,13 +171,16 @@
         }
     }
 
-    /** One request of class {@code look} to a proxy; its status, or -1 where there is none. */
+    /**
+     * Sends a request of class {@code look} to a proxy. Returns the status of the answer, or -1 if there was
+     * no answer.
+     */
     int look(int proxy) {
         return ask(proxy, "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: r" + System.nanoTime()
                 + "\r\nX-Call-Class: look\r\nX-Budget-Ms: 5000\r\nConnection: close\r\n\r\n");
     }
 
-    /** What a proxy's second address shows; empty where it does not answer. */
+    /** Returns the JSON object at a path of a proxy's admin address; empty if the proxy doesn't answer. */
     Map<?, ?> table(int proxy, String path) {
         try (var in = URI.create("http://" + Bench.HOST + ":" + admins.get(proxy) + path).toURL()
                 .openStream()) {
@@ -179,7 +190,7 @@
         }
     }
 
-    /** The verdicts in force at a proxy, each as {@code SERVER REASON}. */
+    /** Returns the verdicts in force at a proxy, each as {@code SERVER REASON}. */
     java.util.Set<String> verdicts(int proxy) {
         if (!(table(proxy, "/ops/shared").get("verdicts") instanceof Map<?, ?> verdicts)) {
             return java.util.Set.of("no answer");
@@ -188,7 +199,7 @@
                 .map(v -> v.get("server") + " " + v.get("reason")).collect(Collectors.toSet());
     }
 
-    /** Members that a proxy holds alive. */
+    /** Returns the number of members that a proxy considers alive. */
     long alive(int proxy) {
         return table(proxy, "/ops/members").get("members") instanceof List<?> rows
                 ? rows.stream().filter(r -> "alive".equals(((Map<?, ?>) r).get("state"))).count() : 0;
--- a/src/test/java/larkworks/proxy/ProxyMembersTest.java
+++ b/src/test/java/larkworks/proxy/ProxyMembersTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Membership inside real proxy processes, read at their second addresses. */
+/** Tests the membership of real proxy processes, as shown at their admin addresses. */
 @Timeout(120)
 class ProxyMembersTest {
 
@@ -27,7 +27,10 @@
 
     private final List<Integer> admins = new ArrayList<>();
 
-    /** What a process holds of a member; a process that does not answer yet holds nothing. */
+    /**
+     * Returns the state of a member as one of the processes sees it, or the text of the error if that process
+     * doesn't answer yet.
+     */
     private String held(int by, int about) {
         try (var in = URI.create("http://" + Bench.HOST + ":" + admins.get(by) + "/ops/members").toURL()
                 .openStream()) {
@@ -77,7 +80,7 @@
     private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "not in time");
+            assertTrue(System.nanoTime() < until, "the condition did not hold within 30 s");
             Thread.sleep(50);
         }
     }
--- a/src/test/java/larkworks/proxy/RepeatWindowTest.java
+++ b/src/test/java/larkworks/proxy/RepeatWindowTest.java
@@ -9,7 +9,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A keyed request's repeat waits for its connection while the key's window passes. */
+/**
+ * Guards against a retry of a request with an idempotency key that is sent after the key's deduplication
+ * window has passed, while the retry was waiting for its connection.
+ */
 @Timeout(60)
 class RepeatWindowTest {
 
@@ -22,16 +25,16 @@
     void aRepeatWhoseConnectionComesUpAfterItsKeysWindowIsNotSent() throws Exception {
         try (Bench bench = new Bench(1); Hanging late = new Hanging()) {
             bench.dedupWindowUs = WINDOW_US;
-            // By the configuration's seed the first of the list gets the first request.
+            // With the configured seed, the first backend of the list gets the first request.
             bench.start(folder, Bench.list(1, true, bench.entry(0, "in_service"),
                     Bench.entry("late", late.address(), "in_service")));
             Bench.Client client = bench.client().post("pay", "r1", "x", "Idempotency-Key: k1\r\n");
             Peer.Message first = bench.backends.get(0).next();
             first.reset();
-            // The system tries the connection again after a second.
+            // The operating system retries the connection attempt after one second.
             Thread.sleep(WINDOW_US / 1000);
             Socket connection = late.accept();
-            assertTrue(Hanging.silent(connection), "a byte came after the window");
+            assertTrue(Hanging.silent(connection), "the retry must not be sent after the window");
             assertEquals(503, client.status());
         }
     }
--- a/src/test/java/larkworks/proxy/RolloutExperiment.java
+++ b/src/test/java/larkworks/proxy/RolloutExperiment.java
@@ -9,9 +9,11 @@
 import larkworks.Program;
 
 /**
- * Issue 12's figures, not a test: {@code java -cp CLASSES larkworks.proxy.RolloutExperiment N}. N proxies
- * under load; a configuration that has all calls refused, rolled out in three waves and then at once, side
- * by side; a harmless one, rolled back by command when all run it. Prints requests not served and times.
+ * Measures rollouts on N proxies under load. This is not a test; run it with
+ * {@code java -cp CLASSES larkworks.proxy.RolloutExperiment N}. It publishes a configuration that has all
+ * calls refused, first in three waves and then to all proxies at once for comparison. Then it publishes a
+ * harmless configuration and rolls it back by command when all proxies run it. It prints the number of
+ * requests that were not served, and the times until the rollout stopped and all proxies were back.
  */
 public final class RolloutExperiment {
 
@@ -20,7 +22,7 @@
 
     private RolloutExperiment() { }
 
-    /** Runs the experiment; arguments as above. */
+    /** Runs the experiment; the class comment describes the arguments. */
     public static void main(String[] args) throws Exception {
         int size = Integer.parseInt(args[0]);
         Path folder = Files.createTempDirectory("rollout");
@@ -42,17 +44,18 @@
                 caller.setDaemon(true);
                 caller.start();
             }
-            Program.await(60, () -> "not all report", () -> running(fleet, 0) == size);
+            Program.await(60, () -> "not all proxies report their version", () -> running(fleet, 0) == size);
             for (String waves : List.of(STAGED, AT_ONCE)) {
                 Map<Integer, Integer> before = Map.copyOf(answers);
                 long begun = System.nanoTime();
                 publish(fleet, RolloutFleetTest.BAD, waves);
                 awaitPhase(fleet, "rolled_back");
                 double stopped = (System.nanoTime() - begun) / 1e9;
-                Program.await(60, () -> "not all back", () -> running(fleet, 0) == size);
+                Program.await(60, () -> "not all proxies are back at version 0",
+                        () -> running(fleet, 0) == size);
                 double back = (System.nanoTime() - begun) / 1e9;
-                System.out.printf("n=%d bad, %s: stopped after %.2f s, all back after %.2f s, "
-                        + "not served %d of %d, lost %d%n", size,
+                System.out.printf("n=%d refusing, %s: stopped after %.2f s, all back after %.2f s, "
+                        + "not served %d of %d, without an answer %d%n", size,
                         waves.equals(STAGED) ? "staged" : "at once", stopped, back,
                         sum(answers) - sum(before) - (answers.getOrDefault(200, 0)
                                 - before.getOrDefault(200, 0)), sum(answers) - sum(before),
@@ -60,10 +63,10 @@
             }
             publish(fleet, RolloutFleetTest.GOOD, AT_ONCE);
             awaitPhase(fleet, "done");
-            Program.await(60, () -> "not all run it", () -> running(fleet, 0) == 0);
+            Program.await(60, () -> "not all proxies run the new version", () -> running(fleet, 0) == 0);
             long begun = System.nanoTime();
             fleet.registry.call("PUT", "/registry/v1/rollout/rollback", "");
-            Program.await(60, () -> "not all back", () -> running(fleet, 0) == size);
+            Program.await(60, () -> "not all proxies are back at version 0", () -> running(fleet, 0) == size);
             System.out.printf("n=%d rollback by command: all back after %.2f s%n", size,
                     (System.nanoTime() - begun) / 1e9);
             over.set(true);
@@ -94,7 +97,7 @@
                 () -> phase.equals(((Map<?, ?>) rollout(fleet).get("state")).get("phase")));
     }
 
-    /** Proxies that report this version. */
+    /** Returns the number of proxies that report the given version. */
     private static long running(ProxyFleet fleet, long version) {
         return ((Map<?, ?>) rollout(fleet).get("reports")).values().stream()
                 .filter(r -> ((Number) ((Map<?, ?>) r).get("version")).longValue() == version).count();
--- a/src/test/java/larkworks/proxy/RolloutFleetTest.java
+++ b/src/test/java/larkworks/proxy/RolloutFleetTest.java
@@ -15,16 +15,19 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Staged rollout to real proxy processes through the list service's process (issue 12). */
+/** Tests staged rollouts to real proxy processes through a process of the list service. */
 @Timeout(180)
 class RolloutFleetTest {
 
     @TempDir
     Path folder;
 
-    /** Changes nothing that clients see. */
+    /** A patch of the configuration that has no effect visible to clients. */
     static final String GOOD = "{\"settings\":{\"limits\":{\"maxAttempts\":3}}}";
-    /** An aim of a millisecond: all calls look hopeless, and are refused. */
+    /**
+     * A patch that sets the aim of each class to 1 ms. No call is expected to be answered in that time, so
+     * all calls are refused.
+     */
     static final String BAD = "{\"settings\":{\"categories\":[" + kind("look") + "," + kind("pay") + ","
             + kind("act") + "]}}";
 
@@ -42,7 +45,7 @@
         try {
             return (Map<?, ?>) fleet.registry.call("GET", "/registry/v1/rollout", "").body().get("state");
         } catch (java.io.IOException | InterruptedException e) {
-            return Map.of("phase", e.toString());  // the service is down
+            return Map.of("phase", e.toString());  // the list service is down
         }
     }
 
@@ -51,7 +54,7 @@
     }
 
     private static void awaitVersion(ProxyFleet fleet, long version) throws InterruptedException {
-        Program.await(20, () -> "not all run " + version, () -> {
+        Program.await(20, () -> "not all proxies run version " + version, () -> {
             try {
                 Map<?, ?> reports = (Map<?, ?>) fleet.registry.call("GET", "/registry/v1/rollout", "").body()
                         .get("reports");
@@ -67,11 +70,15 @@
         return fleet.registry.call("PUT", "/registry/v1/rollout" + path, body);
     }
 
-    /** Four proxies under load; counts what clients got: status, and -1 for a request that was lost. */
+    /** The steps of a test, which are run on a fleet under load. */
     private interface Script {
         void run(ProxyFleet fleet) throws Exception;
     }
 
+    /**
+     * Runs the steps on four proxies under load. Returns the number of requests by the status of their
+     * answer, with -1 for requests without an answer.
+     */
     private Map<Integer, Integer> underLoad(Script script) throws Exception {
         Map<Integer, Integer> answers = new ConcurrentHashMap<>();
         try (ProxyFleet fleet = new ProxyFleet(4, folder, "\"rollout\":{\"report_ms\":200},", 1_000_000)) {
@@ -103,7 +110,8 @@
     void aBadConfigurationStopsInItsFirstWaveAndTheLaterNeverSeeIt() throws Exception {
         Map<Integer, Integer> answers = underLoad(fleet -> {
             assertEquals(200, put(fleet, "", plan(BAD, "[{\"names\":[\"n0\"]},{\"share\":1.0}]")).status());
-            assertEquals(409, put(fleet, "", plan(GOOD, "[{\"share\":1.0}]")).status(), "one at a time");
+            assertEquals(409, put(fleet, "", plan(GOOD, "[{\"share\":1.0}]")).status(),
+                    "only one rollout may run at a time");
             awaitPhase(fleet, "rolled_back");
             awaitVersion(fleet, 0);
             assertTrue(String.valueOf(state(fleet).get("reason")).startsWith("wave 1: "));
@@ -133,7 +141,8 @@
             awaitVersion(fleet, 0);
             assertEquals(409, put(fleet, "/rollback", "").status());
             String listen = plan("{\"listen\":\"127.0.0.1:1\"}", "[{\"share\":1.0}]");
-            assertEquals(400, put(fleet, "", listen).status(), "nothing but settings is swapped");
+            assertEquals(400, put(fleet, "", listen).status(),
+                    "a patch must not change anything but the settings");
         });
         assertEquals(java.util.Set.of(200), answers.keySet(), answers.toString());
     }
--- a/src/test/java/larkworks/proxy/SharedExperiment.java
+++ b/src/test/java/larkworks/proxy/SharedExperiment.java
@@ -12,12 +12,13 @@
 import larkworks.platform.WallClock;
 
 /**
- * Issue 11's figures, not a test: {@code java -cp CLASSES larkworks.proxy.SharedExperiment N TRIALS
- * LOSS...} times verdicts: in each trial a server that is down is listed, requests go through one proxy
- * until it holds a verdict, and the time is taken until the last of the others has it, by the proxies' own
- * logs. {@code budget SECONDS} has ten proxies under constant demand send one cold server as much as its
- * budget lets them, one of them cut off and one killed on the way, and prints the most that came in any
- * window.
+ * Measures the state that proxies share; not a test. With the arguments {@code N TRIALS LOSS...} it measures
+ * how fast verdicts reach N proxies. Each trial registers a server that is down and sends requests through
+ * one proxy until that proxy has reached a verdict on the server. By the proxies' own logs, it measures the
+ * time until the last of the other proxies has received the verdict. With the arguments
+ * {@code budget SECONDS} ten proxies under constant demand send as many requests to one cold server as its
+ * budget allows. Meanwhile one proxy is partitioned, and one is killed and restarted. It prints the maximum
+ * number of requests that arrived in any window.
  */
 public final class SharedExperiment {
 
@@ -26,7 +27,7 @@
 
     private SharedExperiment() { }
 
-    /** Runs the experiment; arguments as above. */
+    /** Runs the experiment; the class comment describes the arguments. */
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("shared");
         if (args[0].equals("budget")) {
@@ -37,8 +38,8 @@
         try (ProxyFleet fleet = new ProxyFleet(size, folder, MEMBERSHIP + "\"shared\":{},", 1_000_000)) {
             fleet.backend("well", 0);
             fleet.start();
-            Program.await(60, () -> "not all alive", () -> fleet.alive(0) == size);
-            times(fleet, size, 5, 0);  // code not run before would be timed with the first
+            Program.await(60, () -> "not all members are alive", () -> fleet.alive(0) == size);
+            times(fleet, size, 5, 0);  // warm-up: these times are not counted
             for (int i = 2; i < args.length; i++) {
                 verdicts(fleet, size, Integer.parseInt(args[1]), Double.parseDouble(args[i]), i);
             }
@@ -52,27 +53,27 @@
         long bytes = fleet.relay.bytes.get();
         List<Long> ms = times(fleet, size, trials, round);
         double seconds = (System.nanoTime() - begun) / 1e9;
-        System.out.printf("n=%d loss=%.2f trials=%d to-all median=%d ms p99=%d ms max=%d ms "
+        System.out.printf("n=%d loss=%.2f trials=%d time-to-all median=%d ms p99=%d ms max=%d ms "
                 + "bytes/member/s=%.0f%n",
                 size, loss, trials, ms.get(ms.size() / 2), ms.get((int) Math.ceil(0.99 * ms.size()) - 1),
                 ms.get(ms.size() - 1), (fleet.relay.bytes.get() - bytes) / seconds / size);
     }
 
-    /** How long each verdict took to reach all, in ms, the shortest first. */
+    /** Returns how long each verdict took to reach all proxies, in ms, in ascending order. */
     private static List<Long> times(ProxyFleet fleet, int size, int trials, int round) throws Exception {
         List<Long> ms = new ArrayList<>();
         for (int t = 0; t < trials; t++) {
             String name = "down-" + round + "-" + t;
             int origin = t % size;
             fleet.list(name, 2 + round * trials + t, 0);
-            Program.await(60, () -> name, () -> fleet.look(origin) > 0
+            Program.await(60, () -> "no verdict on " + name, () -> fleet.look(origin) > 0
                     && first(fleet, origin, "own verdict", name) > 0);
             long wrote = first(fleet, origin, "own verdict", name);
             long last = wrote;
             for (int i = 0; i < size; i++) {
                 int other = i;
                 if (other != origin) {
-                    Program.await(60, () -> name + " never came to " + other,
+                    Program.await(60, () -> name + ": no verdict received by proxy " + other,
                             () -> first(fleet, other, "a peer's verdict", name) > 0);
                     last = Math.max(last, first(fleet, other, "a peer's verdict", name));
                 }
@@ -84,7 +85,7 @@
         return ms;
     }
 
-    /** When a proxy first logged this of a server, Unix ms; 0 where it has not. */
+    /** Returns when a proxy first logged a message about a server, in Unix ms; 0 if it has not done so. */
     private static long first(ProxyFleet fleet, int proxy, String message, String server) {
         for (String line : fleet.proxies.get(proxy).lines) {
             if (line.contains(message) && line.contains('"' + server + '"')) {
@@ -109,7 +110,7 @@
             Map<Integer, Thread> callers = new HashMap<>();
             for (int i = 0; i < 10; i++) {
                 int proxy = i;
-                // Demand differs: the first wants all it can get, the last little.
+                // Demand differs: the first proxy sends without a pause, the last one sends the least.
                 callers.put(i, new Thread(() -> {
                     while (!over.get()) {
                         fleet.look(proxy);
@@ -129,7 +130,7 @@
             pause(seconds * 400);
             over.set(true);
             List<Long> arrivals = fleet.arrivals.get("cold").stream().sorted().toList();
-            System.out.printf("budget=%d in %d ms: most in any window=%d (overshoot %d), mean=%.1f "
+            System.out.printf("budget=%d in %d ms: maximum in any window=%d (overshoot %d), mean=%.1f/s "
                     + "over %d s%n",
                     requests, windowMs, most(arrivals, windowMs), Math.max(0, most(arrivals, windowMs)
                     - requests), arrivals.size() * 1.0 / seconds, seconds);
@@ -144,7 +145,7 @@
         }
     }
 
-    /** The most arrivals in any window. */
+    /** Returns the maximum number of arrivals in any window of the given length. */
     static int most(List<Long> sorted, long windowMs) {
         int most = 0;
         for (int from = 0, to = 0; to < sorted.size(); to++) {
--- a/src/test/java/larkworks/proxy/SharedFleetTest.java
+++ b/src/test/java/larkworks/proxy/SharedFleetTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Verdicts and budgets among real proxy processes, with loss and partitions between them (issue 11). */
+/** Tests verdicts and budgets shared by real proxy processes, with loss and partitions between them. */
 @Timeout(180)
 class SharedFleetTest {
 
@@ -24,10 +24,10 @@
     @TempDir
     Path folder;
 
-    /** Sends requests through a proxy until it holds this against a server. */
+    /** Sends requests through a proxy until it has reached the given verdict. */
     private static void provoke(ProxyFleet fleet, int proxy, String verdict) throws Exception {
         Program.await(30, () -> fleet.verdicts(proxy).toString(), () -> {
-            assertEquals(200, fleet.look(proxy), "another backend serves it");
+            assertEquals(200, fleet.look(proxy), "the other backend must serve the request");
             return fleet.verdicts(proxy).contains(verdict);
         });
     }
@@ -42,9 +42,9 @@
     void aVerdictReachesAllAtHalfLossButNoPartitionUntilItHealsAndEndsEverywhere() throws Exception {
         try (ProxyFleet fleet = new ProxyFleet(5, folder, MEMBERSHIP + "\"shared\":{},", 1_000_000)) {
             fleet.backend("well", 0);
-            fleet.list("gone", 2, 0);  // nobody listens there
+            fleet.list("gone", 2, 0);  // nothing listens on this port
             fleet.start();
-            Program.await(30, () -> "not all alive", () -> IntStream.range(0, 5)
+            Program.await(30, () -> "not all members are alive", () -> IntStream.range(0, 5)
                     .allMatch(i -> fleet.alive(i) == 5));
             fleet.relay.loss(0.5);
             provoke(fleet, 0, "gone demoted");
@@ -55,8 +55,8 @@
             fleet.relay.partition(0, 0, 0, 1, 1);
             provoke(fleet, 0, "gone rests");
             awaitAll(fleet, List.of(1, 2), "gone rests", true);
-            assertEquals(Set.of(), fleet.verdicts(3), "across the partition");
-            assertEquals(Set.of(), fleet.verdicts(4), "across the partition");
+            assertEquals(Set.of(), fleet.verdicts(3), "the verdict must not cross the partition");
+            assertEquals(Set.of(), fleet.verdicts(4), "the verdict must not cross the partition");
             fleet.relay.heal();
             awaitAll(fleet, List.of(3, 4), "gone rests", true);
             awaitAll(fleet, List.of(0, 1, 2, 3, 4), "gone rests", false);
@@ -85,23 +85,27 @@
                 callers.add(caller);
             }
             fleet.backend("cold", WallClock.unixMs());
-            Program.await(30, () -> "nothing comes", () -> fleet.arrivals.get("cold").size() > 60);
+            Program.await(30, () -> "too few requests arrive at the cold server",
+                    () -> fleet.arrivals.get("cold").size() > 60);
             fleet.relay.partition(1, 0, 0, 0, 0, 0, 0, 0, 0, 0);
             fleet.relay.loss(0.3);
             fleet.proxies.get(9).kill();
             int before = fleet.arrivals.get("cold").size();
-            Program.await(30, () -> "nothing comes", () -> fleet.arrivals.get("cold").size() > before + 60);
+            Program.await(30, () -> "too few requests arrive at the cold server",
+                    () -> fleet.arrivals.get("cold").size() > before + 60);
             fleet.start(9);
             int again = fleet.arrivals.get("cold").size();
-            Program.await(30, () -> "nothing comes", () -> fleet.arrivals.get("cold").size() > again + 60);
+            Program.await(30, () -> "too few requests arrive at the cold server",
+                    () -> fleet.arrivals.get("cold").size() > again + 60);
             over.set(true);
             for (Thread caller : callers) {
                 caller.join(15_000);
             }
-            // What was sent within a window may arrive a little closer together, on a busy machine.
+            // On a busy machine requests may arrive a little closer together than they were sent, so the
+            // arrivals are counted in a slightly shorter window.
             List<Long> cold = fleet.arrivals.get("cold").stream().sorted().toList();
             int most = SharedExperiment.most(cold, windowMs - 50);
-            assertTrue(most <= budget, most + " in a window");
+            assertTrue(most <= budget, most + " requests in a window");
             assertTrue(fleet.arrivals.get("warm").size() > fleet.arrivals.get("cold").size());
         }
     }
--- a/src/test/java/larkworks/proxy/StartupExperiment.java
+++ b/src/test/java/larkworks/proxy/StartupExperiment.java
@@ -14,15 +14,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Issue 20's figures of start-up, not a test, from the root after a build:
- * {@code java -cp CLASSES larkworks.proxy.StartupExperiment CORES ADMIN N[,N...] [WAY...]}. N processes of
- * {@code run} start at once on the cores named (as taskset takes them), with a second address where ADMIN
- * is {@code admin}; for each way of discovery it prints the time from start to the first 200 of
- * {@code GET /health/ready}, and the processor time that a process had used by then.
+ * Measures the start-up of proxies. This is not a test; run it from the root directory after a build with
+ * {@code java -cp CLASSES larkworks.proxy.StartupExperiment CORES ADMIN N[,N...] [WAY...]}. It starts N
+ * processes at once, with the deploy file's {@code run} command, on the given cores (in the form that taskset
+ * takes). They have an admin address if ADMIN is {@code admin}. For each way in which discovery answers, it
+ * prints the time from the start to the first status 200 of {@code GET /health/ready}, and the processor time
+ * that a process had used by then.
  */
 public final class StartupExperiment {
 
-    /** An address that nobody else here listens at, so that a port that was free still is. */
+    /** An address at which nothing else on this machine listens, so that a free port stays free. */
     private static final String HOST = "127.31.7.3";
     private static final int BACKENDS = 10;
     private static final long POLL_MS = 20;
@@ -30,7 +31,7 @@
 
     private StartupExperiment() { }
 
-    /** Runs the experiment; arguments as above. */
+    /** Runs the experiment; the class comment describes the arguments. */
     public static void main(String[] args) throws Exception {
         List<DiscoveryStandIn.Way> ways = args.length > 3
                 ? Arrays.stream(args).skip(3).map(DiscoveryStandIn.Way::valueOf).toList()
@@ -40,7 +41,7 @@
                 measure(args[0], args[1].equals("admin"), Integer.parseInt(n), way);
             }
         }
-        System.exit(0);  // the stand-in's server leaves threads that hold the process
+        System.exit(0);  // the stand-in's server leaves threads that keep the process alive
     }
 
     private static void measure(String cores, boolean admin, int size, DiscoveryStandIn.Way way)
@@ -57,7 +58,7 @@
         try (DiscoveryStandIn discovery = new DiscoveryStandIn(way, list); Bench bench = new Bench(0)) {
             Set<Integer> ports = new HashSet<>();
             while (ports.size() < 2 * size) {
-                ports.add(Bench.freePort());  // the system may give one twice, once it is closed again
+                ports.add(Bench.freePort());  // may return a port twice, since it is closed again
             }
             List<Integer> free = List.copyOf(ports);
             List<Thread> pollers = new ArrayList<>();
@@ -81,8 +82,8 @@
             Arrays.sort(ms);
             Arrays.sort(ticks);
             System.out.printf("%-8s n=%-3d %s: ready after median=%.2f s p90=%.2f s max=%.2f s, processor "
-                    + "time median=%.2f s max=%.2f s, list asked for %d times%n", way, size,
-                    admin ? "second address" : "one address", ms[size / 2] / 1e3,
+                    + "time median=%.2f s max=%.2f s, list requested %d times%n", way, size,
+                    admin ? "admin address" : "no admin address", ms[size / 2] / 1e3,
                     ms[(int) Math.ceil(0.9 * size) - 1] / 1e3, ms[size - 1] / 1e3, ticks[size / 2] / 1e2,
                     ticks[size - 1] / 1e2, discovery.calls.get());
         } finally {
@@ -105,7 +106,7 @@
                     return tookMs;
                 }
             } catch (IOException e) {
-                // Nobody listens yet, or not for long.
+                // The process does not listen yet, or does not answer yet.
             }
             try {
                 Thread.sleep(POLL_MS);
