--- a/src/test/java/larkworks/proxy/BackendPoolTest.java
+++ b/src/test/java/larkworks/proxy/BackendPoolTest.java
@@ -45,28 +45,28 @@
         backend.close();
     }
 
-    private BackendPool pool(Sockets sockets) {
+    private BackendPool createPool(Sockets sockets) {
         BackendPool pool = new BackendPool(group.next(), sockets, 5_000_000, 10_000_000);
         sockets.setEvictors(pool::evictLongestIdle, () -> false);
         return pool;
     }
 
-    private void begin(BackendPool pool, Peer to, FullHttpRequest request) {
-        InetSocketAddress address = Config.address(to.address());
+    private void startExchange(BackendPool pool, Peer peer, FullHttpRequest request) {
+        InetSocketAddress address = Config.address(peer.address());
         group.next().execute(() -> pool.startExchange(address, () -> request,
                 a -> outcomes.add(a.outcome())));
     }
 
-    private static FullHttpRequest request() {
+    private static FullHttpRequest newRequest() {
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/");
     }
 
-    private Outcome outcome() throws InterruptedException {
+    private Outcome nextOutcome() throws InterruptedException {
         return outcomes.poll(Peer.LIMIT_S, TimeUnit.SECONDS);
     }
 
     /** Waits until a connection that has just carried an answer can be reused. */
-    static void letRest() throws InterruptedException {
+    static void awaitReuseDelay() throws InterruptedException {
         Thread.sleep(BackendPool.REUSE_DELAY_MS + 1);
     }
 
@@ -75,20 +75,20 @@
      * attempts are sent again.
      */
     @Test
-    void endsAnAttemptAsNotSentWhereNoDescriptorIsLeft() throws Exception {
-        BackendPool pool = pool(new Sockets(4, 0));
-        begin(pool, backend, request());
-        begin(pool, backend, request());
-        Peer.Message first = backend.next();
+    void endsAttemptAsNotSentWhenNoDescriptorIsAvailable() throws Exception {
+        BackendPool pool = createPool(new Sockets(4, 0));
+        startExchange(pool, backend, newRequest());
+        startExchange(pool, backend, newRequest());
+        Peer.Message firstMessage = backend.next();
         backend.next();
-        begin(pool, backend, request());
-        assertEquals(Outcome.NOT_SENT, outcome());
-        first.reply(200, "");
-        assertEquals(Outcome.OK, outcome());
-        letRest();
-        begin(pool, backend, request());
+        startExchange(pool, backend, newRequest());
+        assertEquals(Outcome.NOT_SENT, nextOutcome());
+        firstMessage.reply(200, "");
+        assertEquals(Outcome.OK, nextOutcome());
+        awaitReuseDelay();
+        startExchange(pool, backend, newRequest());
         backend.next().reply(200, "");
-        assertEquals(Outcome.OK, outcome());
+        assertEquals(Outcome.OK, nextOutcome());
         assertEquals(2, backend.connections());
     }
 
@@ -97,89 +97,89 @@
      * counted any more.
      */
     @Test
-    void tellsOnTheLoopThatTheSystemGaveNoSocket() throws Exception {
+    void notifiesReceiverOnEventLoopWhenSystemProvidesNoSocket() throws Exception {
         Sockets sockets = new Sockets(16, 0);
-        AtomicBoolean none = new AtomicBoolean(true);
+        AtomicBoolean socketsUnavailable = new AtomicBoolean(true);
         BackendPool pool = new BackendPool(group.next(), sockets, 5_000_000, 10_000_000, () -> {
-            if (none.get()) {
+            if (socketsUnavailable.get()) {
                 throw new ChannelException("too many open files");
             }
             return new NioSocketChannel();
         });
-        BlockingQueue<Boolean> onLoop = new LinkedBlockingQueue<>();
+        BlockingQueue<Boolean> calledOnEventLoop = new LinkedBlockingQueue<>();
         group.next().execute(() -> {
             BackendPool.Exchange exchange = pool.startExchange(Config.address(backend.address()),
-                    BackendPoolTest::request, a -> {
+                    BackendPoolTest::newRequest, a -> {
                         outcomes.add(a.outcome());
-                        onLoop.add(group.next().inEventLoop());
+                        calledOnEventLoop.add(group.next().inEventLoop());
                     });
             outcomes.add(exchange.hasStarted() ? Outcome.OK : Outcome.CANCELLED);
         });
-        assertEquals(Outcome.CANCELLED, outcome(),
+        assertEquals(Outcome.CANCELLED, nextOutcome(),
                 "the receiver must not be notified before startExchange has returned");
-        assertEquals(Outcome.NOT_SENT, outcome());
-        assertEquals(true, onLoop.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertEquals(Outcome.NOT_SENT, nextOutcome());
+        assertEquals(true, calledOnEventLoop.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
         assertEquals(0, sockets.openCount());
-        none.set(false);
-        begin(pool, backend, request());
+        socketsUnavailable.set(false);
+        startExchange(pool, backend, newRequest());
         backend.next().reply(200, "");
-        assertEquals(Outcome.OK, outcome());
+        assertEquals(Outcome.OK, nextOutcome());
         assertEquals(1, sockets.openCount());
     }
 
     @Test
-    void closesAnIdleConnectionToMakeRoomForAnotherBackend() throws Exception {
-        try (Peer other = new Peer()) {
+    void closesIdleConnectionToConnectToAnotherBackend() throws Exception {
+        try (Peer otherBackend = new Peer()) {
             Sockets sockets = new Sockets(2, 0);
-            BackendPool pool = pool(sockets);
+            BackendPool pool = createPool(sockets);
             sockets.tryAcquire();
             for (int i = 0; i < 2; i++) {
-                begin(pool, backend, request());
+                startExchange(pool, backend, newRequest());
                 Peer.Message message = backend.next();
                 message.reply(200, "");
-                assertEquals(Outcome.OK, outcome());
-                begin(pool, other, request());
+                assertEquals(Outcome.OK, nextOutcome());
+                startExchange(pool, otherBackend, newRequest());
                 message.awaitEnd();
-                other.next().reply(200, "");
-                assertEquals(Outcome.OK, outcome());
+                otherBackend.next().reply(200, "");
+                assertEquals(Outcome.OK, nextOutcome());
             }
         }
     }
 
     @Test
-    void sendsNothingWhereTheRequestIsOverOnceConnected() throws Exception {
-        BackendPool pool = pool(new Sockets(16, 0));
-        begin(pool, backend, null);
-        assertEquals(Outcome.NOT_SENT, outcome());
-        begin(pool, backend, request());
+    void sendsNothingWhenRequestHasEndedBeforeItsConnectionIsEstablished() throws Exception {
+        BackendPool pool = createPool(new Sockets(16, 0));
+        startExchange(pool, backend, null);
+        assertEquals(Outcome.NOT_SENT, nextOutcome());
+        startExchange(pool, backend, newRequest());
         backend.next().reply(200, "");
-        assertEquals(Outcome.OK, outcome());
+        assertEquals(Outcome.OK, nextOutcome());
         assertEquals(1, backend.connections(), "the next request must reuse the connection");
         assertEquals(0, backend.waiting());
     }
 
     @Test
-    void aRequestThatCanNotBeWrittenDownLeavesTheConnectionUsable() throws Exception {
-        BackendPool pool = pool(new Sockets(16, 0));
+    void keepsConnectionUsableWhenRequestCannotBeBuilt() throws Exception {
+        BackendPool pool = createPool(new Sockets(16, 0));
         group.next().execute(() -> pool.startExchange(Config.address(backend.address()), () -> {
             throw new IllegalArgumentException("simulated: a header contains a line break");
         }, a -> outcomes.add(a.outcome())));
-        assertEquals(Outcome.NOT_SENT, outcome());
-        begin(pool, backend, request());
+        assertEquals(Outcome.NOT_SENT, nextOutcome());
+        startExchange(pool, backend, newRequest());
         backend.next().reply(200, "");
-        assertEquals(Outcome.OK, outcome());
+        assertEquals(Outcome.OK, nextOutcome());
         assertEquals(1, backend.connections());
     }
 
     @Test
-    void tellsAResetAfterTheWriteFromAFailureToConnect() throws Exception {
-        BackendPool pool = pool(new Sockets(16, 0));
-        begin(pool, backend, request());
+    void distinguishesResetAfterWriteFromConnectFailure() throws Exception {
+        BackendPool pool = createPool(new Sockets(16, 0));
+        startExchange(pool, backend, newRequest());
         backend.next().reset();
-        assertEquals(Outcome.RESET, outcome());
+        assertEquals(Outcome.RESET, nextOutcome());
         backend.close();
-        begin(pool, backend, request());
-        assertEquals(Outcome.CONNECT_FAILED, outcome());
+        startExchange(pool, backend, newRequest());
+        assertEquals(Outcome.CONNECT_FAILED, nextOutcome());
     }
 
     /**
@@ -199,13 +199,13 @@
         "http/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
         "HTTP/1.1 101 Switching\r\nConnection: upgrade\r\nUpgrade: other\r\n\r\nab",
         "HTTP/1.1 103 Hints\r\nno colon here\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"})
-    void takesNoAnswerThatIsNotHttpToTheLetter(String answer) throws Exception {
-        BackendPool pool = pool(new Sockets(16, 0));
-        begin(pool, backend, request());
-        Peer.Message sent = backend.next();
-        sent.raw(answer);
-        assertEquals(Outcome.RESET, outcome());
-        sent.awaitEnd();
+    void rejectsMalformedOrUnsupportedAnswer(String answer) throws Exception {
+        BackendPool pool = createPool(new Sockets(16, 0));
+        startExchange(pool, backend, newRequest());
+        Peer.Message message = backend.next();
+        message.raw(answer);
+        assertEquals(Outcome.RESET, nextOutcome());
+        message.awaitEnd();
     }
 
     /**
@@ -213,44 +213,44 @@
      * when the connection is closed, but a reset is no such end.
      */
     @Test
-    void takesABodyThatAResetCutsForNoAnswer() throws Exception {
-        BackendPool pool = pool(new Sockets(64, 0));
+    void rejectsAnswerWhoseBodyIsCutOffByReset() throws Exception {
+        BackendPool pool = createPool(new Sockets(64, 0));
         for (int i = 0; i < 20; i++) {
-            begin(pool, backend, request());
-            Peer.Message sent = backend.next();
-            sent.raw("HTTP/1.1 200 OK\r\n\r\nhalf of the bod");
-            sent.reset();
-            assertEquals(Outcome.RESET, outcome());
+            startExchange(pool, backend, newRequest());
+            Peer.Message message = backend.next();
+            message.raw("HTTP/1.1 200 OK\r\n\r\nhalf of the bod");
+            message.reset();
+            assertEquals(Outcome.RESET, nextOutcome());
         }
-        begin(pool, backend, request());
-        Peer.Message sent = backend.next();
-        sent.raw("HTTP/1.1 200 OK\r\n\r\nall of it");
-        sent.socket().close();
-        assertEquals(Outcome.OK, outcome());
+        startExchange(pool, backend, newRequest());
+        Peer.Message message = backend.next();
+        message.raw("HTTP/1.1 200 OK\r\n\r\nall of it");
+        message.socket().close();
+        assertEquals(Outcome.OK, nextOutcome());
     }
 
     /** Starts an exchange, and another as soon as it has ended; returns the bodies of both answers. */
-    private BlockingQueue<String> askTwice() {
-        BackendPool pool = pool(new Sockets(16, 0));
+    private BlockingQueue<String> startTwoExchanges() {
+        BackendPool pool = createPool(new Sockets(16, 0));
         InetSocketAddress address = Config.address(backend.address());
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-        group.next().execute(() -> pool.startExchange(address, BackendPoolTest::request, first -> {
-            bodies.add(BackendPool.asciiText(first.body()));
-            pool.startExchange(address, BackendPoolTest::request,
-                    next -> bodies.add(BackendPool.asciiText(next.body())));
+        group.next().execute(() -> pool.startExchange(address, BackendPoolTest::newRequest, firstAnswer -> {
+            bodies.add(BackendPool.asciiText(firstAnswer.body()));
+            pool.startExchange(address, BackendPoolTest::newRequest,
+                    nextAnswer -> bodies.add(BackendPool.asciiText(nextAnswer.body())));
         }));
         return bodies;
     }
 
     /** Guards against a request that is given the second of two answers to the previous request. */
     @Test
-    void givesNoRequestWhatCameBehindTheAnswerToAnother() throws Exception {
-        BlockingQueue<String> bodies = askTwice();
+    void doesNotDeliverSecondAnswerToNextRequest() throws Exception {
+        BlockingQueue<String> bodies = startTwoExchanges();
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
-        Peer.Message sent = backend.next();
-        sent.raw(answer + answer);
+        Peer.Message message = backend.next();
+        message.raw(answer + answer);
         assertEquals("first", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        sent.awaitEnd();
+        message.awaitEnd();
         backend.next().reply(200, "next");
         assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
     }
@@ -260,16 +260,16 @@
      * after the first one. The next request must use another connection.
      */
     @Test
-    void givesNoRequestASecondAnswerThatComesLate() throws Exception {
-        BlockingQueue<String> bodies = askTwice();
-        Peer.Message sent = backend.next();
-        sent.reply(200, "first");
+    void doesNotDeliverDelayedSecondAnswerToNextRequest() throws Exception {
+        BlockingQueue<String> bodies = startTwoExchanges();
+        Peer.Message message = backend.next();
+        message.reply(200, "first");
         assertEquals("first", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        Peer.Message next = backend.next();
-        sent.reply(200, "second answer");
-        next.reply(200, "next");
+        Peer.Message nextMessage = backend.next();
+        message.reply(200, "second answer");
+        nextMessage.reply(200, "next");
         assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        sent.awaitEnd();
+        message.awaitEnd();
     }
 
     /**
@@ -277,22 +277,22 @@
      * blocked for longer than the reuse delay, so that this answer is still unread when the delay is over.
      */
     @Test
-    void givesNoRequestASecondAnswerThatLayUnreadWhileTheLoopWasLate() throws Exception {
-        BackendPool pool = pool(new Sockets(16, 0));
+    void doesNotDeliverSecondAnswerLeftUnreadByBlockedEventLoop() throws Exception {
+        BackendPool pool = createPool(new Sockets(16, 0));
         InetSocketAddress address = Config.address(backend.address());
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
-        begin(pool, backend, request());
-        Peer.Message sent = backend.next();
-        sent.reply(200, "first");
-        assertEquals(Outcome.OK, outcome());
+        startExchange(pool, backend, newRequest());
+        Peer.Message message = backend.next();
+        message.reply(200, "first");
+        assertEquals(Outcome.OK, nextOutcome());
         group.next().execute(() -> {
-            sent.reply(200, "second answer");
+            message.reply(200, "second answer");
             try {
-                letRest();
+                awaitReuseDelay();
             } catch (InterruptedException e) {
                 throw new IllegalStateException(e);
             }
-            pool.startExchange(address, BackendPoolTest::request,
+            pool.startExchange(address, BackendPoolTest::newRequest,
                     a -> bodies.add(BackendPool.asciiText(a.body())));
         });
         backend.next().reply(200, "next");
@@ -305,15 +305,15 @@
         "HTTP/1.0 200 OK\r\nX-Empty:\r\nContent-Length: \t2 \r\n\r\nab",
         "HTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n0\r\nX-T: z\r\n\r\n",
         "HTTP/1.1 103 Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"})
-    void takesEveryFormOfAnAnswerThatHttpAllows(String answer) throws Exception {
-        BackendPool pool = pool(new Sockets(16, 0));
-        begin(pool, backend, request());
+    void acceptsEveryValidFormOfAnswer(String answer) throws Exception {
+        BackendPool pool = createPool(new Sockets(16, 0));
+        startExchange(pool, backend, newRequest());
         backend.next().raw(answer);
-        assertEquals(Outcome.OK, outcome());
+        assertEquals(Outcome.OK, nextOutcome());
     }
 
     @Test
-    void readsLoadReports() {
+    void parsesLoadReports() {
         assertEquals(new LoadReport(7, 2, 0.61), BackendPool.parseLoadReport("inflight=7,queue=2,util=0.61"));
         assertEquals(new LoadReport(-1, 2, -1), BackendPool.parseLoadReport("queue=2,other=9"));
         assertNull(BackendPool.parseLoadReport("inflight=many"));
--- a/src/test/java/larkworks/proxy/DescriptorReserveTest.java
+++ b/src/test/java/larkworks/proxy/DescriptorReserveTest.java
@@ -30,7 +30,7 @@
 class DescriptorReserveTest {
 
     /** The number of clients that connect at a time without sending a request. */
-    private static final int CROWD = 300;
+    private static final int IDLE_CLIENT_COUNT = 300;
 
     @TempDir
     Path folder;
@@ -40,7 +40,7 @@
      * closed.
      */
     @Test
-    void reachesDiscoveryThoughRequestsInFlightHoldAllSockets() throws Exception {
+    void reachesDiscoveryWhileRequestsInFlightUseAllSockets() throws Exception {
         try (Bench bench = new Bench(2)) {
             bench.sockets = 8;
             bench.drainGraceUs = 5_000_000;
@@ -50,45 +50,46 @@
                 bench.discovery.next().reply(503, "");
             }
             // Four of the eight descriptors are for connections: two from clients, one to each backend.
-            Bench.Client one = bench.client().look("one");
-            Peer.Message first = bench.backends.get(bench.awaitBackend()).next();
-            Bench.Client other = bench.client().look("other");
-            Peer.Message second = bench.backends.get(bench.awaitBackend()).next();
-            Peer.Message again = bench.discovery.next();
-            again.reply(200, Bench.list(2, true, bench.entry(0, "terminating"),
+            Bench.Client firstClient = bench.client().look("one");
+            Peer.Message firstRequest = bench.backends.get(bench.awaitBackend()).next();
+            Bench.Client secondClient = bench.client().look("other");
+            Peer.Message secondRequest = bench.backends.get(bench.awaitBackend()).next();
+            Peer.Message recoveredCall = bench.discovery.next();
+            recoveredCall.reply(200, Bench.list(2, true, bench.entry(0, "terminating"),
                     bench.entry(1, "terminating")));
             assertTrue(bench.discovery.next().line().contains("index=2"),
                     "the list with the drain must be applied");
-            first.reply(200, "");
-            second.reply(200, "");
-            assertEquals(200, one.status(), "the request was in flight during the drain");
-            assertEquals(200, other.status(), "the request was in flight during the drain");
+            firstRequest.reply(200, "");
+            secondRequest.reply(200, "");
+            assertEquals(200, firstClient.status(), "the request was in flight during the drain");
+            assertEquals(200, secondClient.status(), "the request was in flight during the drain");
         }
     }
 
     /** A connection to discovery must not close another one, even if all counted sockets are in use. */
     @Test
     void connectsToDiscoveryWithoutClosingAnotherConnection() throws Exception {
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Peer discovery = new Peer()) {
             Sockets sockets = new Sockets(4, 0);
             sockets.setEvictors(() -> {
                 throw new AssertionError("a connection was closed for the one to discovery");
             });
             assertTrue(sockets.tryAcquire());
-            int before = sockets.openCount();
-            Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class)
+            int openBefore = sockets.openCount();
+            Bootstrap bootstrap = new Bootstrap().group(eventLoops).channel(NioSocketChannel.class)
                     .handler(new ChannelInboundHandlerAdapter());
-            var up = group.next().<Boolean>newPromise();
-            Channel channel = sockets.connectReserved(bootstrap, group.next(),
-                    Config.address(discovery.address()), connected -> up.setSuccess(connected.isSuccess()));
-            assertTrue(up.get(Peer.LIMIT_S, TimeUnit.SECONDS));
-            assertEquals(before, sockets.openCount(), "the connection to discovery must not be counted");
+            var connectedResult = eventLoops.next().<Boolean>newPromise();
+            Channel channel = sockets.connectReserved(bootstrap, eventLoops.next(),
+                    Config.address(discovery.address()),
+                    connected -> connectedResult.setSuccess(connected.isSuccess()));
+            assertTrue(connectedResult.get(Peer.LIMIT_S, TimeUnit.SECONDS));
+            assertEquals(openBefore, sockets.openCount(), "the connection to discovery must not be counted");
             channel.close().sync();
-            assertEquals(before, sockets.openCount(),
+            assertEquals(openBefore, sockets.openCount(),
                     "closing an uncounted connection must not change the count");
         } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
 
@@ -98,53 +99,54 @@
      * address.
      */
     @Test
-    void aCrowdOfIdleClientsKeepsNeitherDiscoveryNorBackendsNorOperatorsOut() throws Exception {
-        int descriptors = 128;
+    void idleClientsDoNotBlockDiscoveryBackendsOrAdminAddress() throws Exception {
+        int descriptorLimit = 128;
         // In production there is one jar on the class path; here each jar needs a descriptor.
-        int jars = System.getProperty("java.class.path").split(File.pathSeparator).length;
-        int listen = Bench.freePort();
-        int admin = Bench.freePort();
+        int jarCount = System.getProperty("java.class.path").split(File.pathSeparator).length;
+        int listenPort = Bench.freePort();
+        int adminPort = Bench.freePort();
         try (Bench bench = new Bench(2)) {
-            bench.sockets = descriptors;
-            bench.at(listen);
-            Path config = Files.writeString(folder.resolve("config.json"),
-                    bench.config(listen, bench.all(1)));
-            try (Program proxy = new Program("ulimit -n " + (descriptors + jars - 1), Map.of("GW_CONFIG",
-                    config.toString(), "GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR",
+            bench.sockets = descriptorLimit;
+            bench.at(listenPort);
+            Path configFile = Files.writeString(folder.resolve("config.json"),
+                    bench.config(listenPort, bench.all(1)));
+            try (Program proxy = new Program("ulimit -n " + (descriptorLimit + jarCount - 1),
+                    Map.of("GW_CONFIG", configFile.toString(),
+                    "GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR",
                     Files.createDirectories(folder.resolve("own")).toString()), "proxy")) {
-                Peer.Message call = bench.discovery.next();
-                call.reply(200, bench.all(2));
-                Peer.Message watch = bench.discovery.next();
-                Program.await(30, proxy.lines::toString, () -> ready(admin));
+                Peer.Message firstCall = bench.discovery.next();
+                firstCall.reply(200, bench.all(2));
+                Peer.Message watchCall = bench.discovery.next();
+                Program.await(30, proxy.lines::toString, () -> isReady(adminPort));
 
-                watch.reset();
-                crowd(bench);
-                Peer.Message down = bench.discovery.next();
-                down.reply(503, "");
-                crowd(bench);
-                Peer.Message back = bench.discovery.next();
-                back.reply(200, Bench.list(3, true, bench.entry(0, "terminating"),
+                watchCall.reset();
+                connectIdleClients(bench);
+                Peer.Message failedCall = bench.discovery.next();
+                failedCall.reply(503, "");
+                connectIdleClients(bench);
+                Peer.Message recoveredCall = bench.discovery.next();
+                recoveredCall.reply(200, Bench.list(3, true, bench.entry(0, "terminating"),
                         bench.entry(1, "in_service")));
                 assertTrue(bench.discovery.next().line().contains("index=3"),
                         "the list with the drain must be applied");
                 for (int i = 0; i < 5; i++) {
                     assertEquals(1, bench.served());
                 }
-                assertTrue(ready(admin), "the admin address must answer");
+                assertTrue(isReady(adminPort), "the admin address must answer");
                 assertFalse(proxy.lines.toString().contains("Too many open files"), proxy.lines::toString);
             }
         }
     }
 
-    private static void crowd(Bench bench) throws IOException {
-        for (int i = 0; i < CROWD; i++) {
+    private static void connectIdleClients(Bench bench) throws IOException {
+        for (int i = 0; i < IDLE_CLIENT_COUNT; i++) {
             bench.client();
         }
     }
 
-    private static boolean ready(int admin) {
+    private static boolean isReady(int adminPort) {
         try {
-            return Bench.call(admin, "GET", "/ops/readiness", "") == 200;
+            return Bench.call(adminPort, "GET", "/ops/readiness", "") == 200;
         } catch (IOException e) {
             return false;
         }
--- a/src/test/java/larkworks/proxy/HealthProbesTest.java
+++ b/src/test/java/larkworks/proxy/HealthProbesTest.java
@@ -22,12 +22,12 @@
 class HealthProbesTest {
 
     /** The result that was reported to a probe's listener. */
-    private record Heard(Outcome outcome, LoadReport report) { }
+    private record ProbeResult(Outcome outcome, LoadReport report) { }
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ProbeResult> results = new LinkedBlockingQueue<>();
     private Peer backend;
     private HealthProbes probes;
 
@@ -46,29 +46,29 @@
         backend.close();
     }
 
-    private void send(InetSocketAddress address) throws Exception {
+    private void sendProbe(InetSocketAddress address) throws Exception {
         loop.submit(() -> probes.send("b0", address, () -> false,
-                (server, outcome, tookUs, report) -> heard.add(new Heard(outcome, report)))).get();
+                (server, outcome, tookUs, report) -> results.add(new ProbeResult(outcome, report)))).get();
     }
 
-    private Heard next() throws InterruptedException {
-        return heard.poll(Peer.LIMIT_S, TimeUnit.SECONDS);
+    private ProbeResult nextResult() throws InterruptedException {
+        return results.poll(Peer.LIMIT_S, TimeUnit.SECONDS);
     }
 
     @Test
-    void aBackendThatIsSilentTimesOut() throws Exception {
-        send(Config.address(backend.address()));
-        assertEquals(Outcome.TIMEOUT, next().outcome());
-        assertNull(heard.poll());
+    void reportsTimeoutWhenBackendDoesNotAnswer() throws Exception {
+        sendProbe(Config.address(backend.address()));
+        assertEquals(Outcome.TIMEOUT, nextResult().outcome());
+        assertNull(results.poll());
     }
 
     @Test
-    void aProbeThatCannotBeginIsToldOnceAsNotSent() throws Exception {
-        send(null);
-        assertEquals(Outcome.NOT_SENT, next().outcome());
+    void reportsNotSentOnceWhenProbeCannotStart() throws Exception {
+        sendProbe(null);
+        assertEquals(Outcome.NOT_SENT, nextResult().outcome());
         loop.submit(() -> { }).get();
-        send(Config.address(backend.address()));
-        assertEquals(Outcome.TIMEOUT, next().outcome(), "the first probe must not be reported again");
-        assertNull(heard.poll());
+        sendProbe(Config.address(backend.address()));
+        assertEquals(Outcome.TIMEOUT, nextResult().outcome(), "the first probe must not be reported again");
+        assertNull(results.poll());
     }
 }
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -207,7 +207,7 @@
         assertArrayEquals(body, client.bytes(LARGE));
         writing.get(Peer.LIMIT_S, TimeUnit.SECONDS);
 
-        BackendPoolTest.letRest();
+        BackendPoolTest.awaitReuseDelay();
         client.send(get("again"));
         server.head();
         server.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
--- a/src/test/java/larkworks/proxy/PlatformBench.java
+++ b/src/test/java/larkworks/proxy/PlatformBench.java
@@ -36,8 +36,8 @@
 @Fork(1)
 public class PlatformBench {
 
-    private Logger off;
-    private Logger on;
+    private Logger disabledLogger;
+    private Logger enabledLogger;
     private Meters meters;
 
     /** Starts logging at level info, except for the component {@code on}, which logs at level debug. */
@@ -45,9 +45,9 @@
     public void setUp() {
         Logs.start(new LogSettings(org.slf4j.event.Level.INFO, Map.of("on", org.slf4j.event.Level.DEBUG)),
                 Map.of("node", "n1"));
-        off = LoggerFactory.getLogger("off");
-        on = LoggerFactory.getLogger("on");
-        if (((ch.qos.logback.classic.Logger) off).getEffectiveLevel() != Level.INFO) {
+        disabledLogger = LoggerFactory.getLogger("off");
+        enabledLogger = LoggerFactory.getLogger("on");
+        if (((ch.qos.logback.classic.Logger) disabledLogger).getEffectiveLevel() != Level.INFO) {
             throw new IllegalStateException("the level of logger 'off' must be info");
         }
         meters = new Meters(List.of(new RequestClass("look", 200_000, 1_000_000, 1, 0, Effect.SAFE,
@@ -56,14 +56,15 @@
 
     @Benchmark
     public void debugOff() {
-        if (off.isDebugEnabled()) {
-            off.atDebug().addKeyValue("request", "9b1f03aa5c7e2d41").log("answered");
+        if (disabledLogger.isDebugEnabled()) {
+            disabledLogger.atDebug().addKeyValue("request", "9b1f03aa5c7e2d41").log("answered");
         }
     }
 
     @Benchmark
     public void debugOn() {
-        on.atDebug().addKeyValue("request", "9b1f03aa5c7e2d41").addKeyValue("attempts", 1).log("answered");
+        enabledLogger.atDebug().addKeyValue("request", "9b1f03aa5c7e2d41").addKeyValue("attempts", 1)
+                .log("answered");
     }
 
     @Benchmark
--- a/src/test/java/larkworks/proxy/ProxyFleet.java
+++ b/src/test/java/larkworks/proxy/ProxyFleet.java
@@ -29,53 +29,55 @@
 
     final UdpRelay relay;
     /** The address of the list service, which stays the same when it is restarted. */
-    final String discovery;
-    Program service;
-    final Caller registry;
+    final String discoveryAddress;
+    Program listService;
+    final Caller registryClient;
     final List<Program> proxies = new ArrayList<>();
     /** The arrival times of the requests by backend name, in ms of one monotonic clock. */
-    final Map<String, Queue<Long>> arrivals = new ConcurrentHashMap<>();
-    private final List<HttpServer> backends = new ArrayList<>();
-    private final List<Integer> ports = new ArrayList<>();
-    private final List<Integer> admins = new ArrayList<>();
-    private final List<Path> configs = new ArrayList<>();
+    final Map<String, Queue<Long>> arrivalTimesMs = new ConcurrentHashMap<>();
+    private final List<HttpServer> backendServers = new ArrayList<>();
+    private final List<Integer> listenPorts = new ArrayList<>();
+    private final List<Integer> adminPorts = new ArrayList<>();
+    private final List<Path> configFiles = new ArrayList<>();
     private final Path folder;
 
     /**
      * Starts the list service and writes the configurations of the proxies.
      *
-     * @param tables further members of each proxy's JSON configuration, each followed by a comma
+     * @param extraConfig further members of each proxy's JSON configuration, each followed by a comma
+     * @param coldUs the duration of a server's slow start
      */
-    ProxyFleet(int size, Path folder, String tables, long coldUs) throws Exception {
+    ProxyFleet(int proxyCount, Path folder, String extraConfig, long coldUs) throws Exception {
         this.folder = folder;
-        List<InetSocketAddress> backs = new ArrayList<>();
-        while (backs.size() < size) {
-            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName(Bench.HOST))) {
-                InetSocketAddress back = (InetSocketAddress) free.getLocalSocketAddress();
-                if (!backs.contains(back)) {
-                    backs.add(back);
+        List<InetSocketAddress> memberAddresses = new ArrayList<>();
+        while (memberAddresses.size() < proxyCount) {
+            try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getByName(Bench.HOST))) {
+                InetSocketAddress memberAddress = (InetSocketAddress) freeSocket.getLocalSocketAddress();
+                if (!memberAddresses.contains(memberAddress)) {
+                    memberAddresses.add(memberAddress);
                 }
             }
         }
-        relay = new UdpRelay(backs);
-        String discovery = "127.0.0.1:" + Bench.freePort();
-        this.discovery = discovery;
-        startService();
-        registry = new Caller(discovery);
+        relay = new UdpRelay(memberAddresses);
+        String discoveryAddress = "127.0.0.1:" + Bench.freePort();
+        this.discoveryAddress = discoveryAddress;
+        startListService();
+        registryClient = new Caller(discoveryAddress);
         List<String> peers = new ArrayList<>();
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < proxyCount; i++) {
             peers.add(quoted(relay.front(i)));
         }
         try (Bench bench = new Bench(0)) {
-            for (int i = 0; i < size; i++) {
-                ports.add(port());
-                admins.add(port());
-                bench.more = "\"peer_listen\":" + quoted(backs.get(i)) + ",\"peers\":" + peers
-                        + ",\"peers_all\":" + quoted(relay.everyone()) + ",\"member\":" + i + "," + tables;
-                configs.add(Files.writeString(folder.resolve("proxy" + i + ".json"),
-                        bench.config(ports.get(i), "null")
+            for (int i = 0; i < proxyCount; i++) {
+                listenPorts.add(unusedPort());
+                adminPorts.add(unusedPort());
+                bench.more = "\"peer_listen\":" + quoted(memberAddresses.get(i)) + ",\"peers\":" + peers
+                        + ",\"peers_all\":" + quoted(relay.everyone()) + ",\"member\":" + i + ","
+                        + extraConfig;
+                configFiles.add(Files.writeString(folder.resolve("proxy" + i + ".json"),
+                        bench.config(listenPorts.get(i), "null")
                                 .replace("\"name\":\"n0\"", "\"name\":\"n" + i + "\"")
-                                .replace('"' + bench.discovery.address() + '"', '"' + discovery + '"')
+                                .replace('"' + bench.discovery.address() + '"', '"' + discoveryAddress + '"')
                                 .replace("\"coldUs\":1000000", "\"coldUs\":" + coldUs)));
                 proxies.add(null);
             }
@@ -83,53 +85,54 @@
     }
 
     /**
-     * Returns a free port that this fleet doesn't use yet. A port that was closed again may be returned a
-     * second time by the system; this happens among a hundred ports.
+     * Returns a free port that this fleet doesn't use yet. Each free port is closed again at once, so the
+     * system may return it a second time; this does happen among a hundred ports.
      */
-    private int port() throws IOException {
+    private int unusedPort() throws IOException {
         int port = Bench.freePort();
-        while (ports.contains(port) || admins.contains(port)) {
+        while (listenPorts.contains(port) || adminPorts.contains(port)) {
             port = Bench.freePort();
         }
         return port;
     }
 
-    private static String quoted(InetSocketAddress a) {
-        return "\"" + a.getAddress().getHostAddress() + ":" + a.getPort() + "\"";
+    private static String quoted(InetSocketAddress address) {
+        return "\"" + address.getAddress().getHostAddress() + ":" + address.getPort() + "\"";
     }
 
     /** Starts or restarts the list service. */
-    void startService() throws Exception {
-        service = new Program("", Map.of(), "registry", "--listen", discovery, "--data",
+    void startListService() throws Exception {
+        listService = new Program("", Map.of(), "registry", "--listen", discoveryAddress, "--data",
                 folder.resolve("registry").toString());
-        service.logged("serving");
+        listService.logged("serving");
     }
 
     /** Starts or restarts the proxy with index {@code i}. */
-    void start(int i) throws Exception {
-        Path own = Files.createDirectories(folder.resolve("tmp" + i));
-        proxies.set(i, new Program("", Map.of("GW_CONFIG", configs.get(i).toString(), "GW_ADMIN_ADDR",
-                Bench.HOST + ":" + admins.get(i), "TMPDIR", own.toString()), "proxy"));
+    void startProxy(int i) throws Exception {
+        Path processFolder = Files.createDirectories(folder.resolve("tmp" + i));
+        proxies.set(i, new Program("", Map.of("GW_CONFIG", configFiles.get(i).toString(), "GW_ADMIN_ADDR",
+                Bench.HOST + ":" + adminPorts.get(i), "TMPDIR", processFolder.toString()), "proxy"));
     }
 
     /** Starts all proxies and waits until each is ready. */
-    void start() throws Exception {
+    void startAll() throws Exception {
         for (int i = 0; i < proxies.size(); i++) {
-            start(i);
+            startProxy(i);
         }
         Program.await(180, () -> "not all proxies are ready",
                 () -> java.util.stream.IntStream.range(0, proxies.size())
-                        .allMatch(i -> ask(i, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200));
+                        .allMatch(i -> requestStatus(i,
+                                "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200));
     }
 
     /** Starts a backend that answers at once, and registers it under the given name. */
-    void backend(String name, long sinceMs) throws Exception {
-        backend(name, sinceMs, 0);
+    void startBackend(String name, long sinceMs) throws Exception {
+        startBackend(name, sinceMs, 0);
     }
 
-    /** Starts a backend that answers after {@code afterMs}, and registers it under the given name. */
-    void backend(String name, long sinceMs, int afterMs) throws Exception {
-        Queue<Long> came = new ConcurrentLinkedQueue<>();
+    /** Starts a backend that answers after {@code answerDelayMs}, and registers it under the given name. */
+    void startBackend(String name, long sinceMs, int answerDelayMs) throws Exception {
+        Queue<Long> backendArrivalTimesMs = new ConcurrentLinkedQueue<>();
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 256);
         server.setExecutor(Executors.newFixedThreadPool(16, task -> {
             Thread thread = new Thread(task, "backend");
@@ -137,9 +140,9 @@
             return thread;
         }));
         server.createContext("/", exchange -> {
-            came.add(System.nanoTime() / 1_000_000);
+            backendArrivalTimesMs.add(System.nanoTime() / 1_000_000);
             try {
-                Thread.sleep(afterMs);
+                Thread.sleep(answerDelayMs);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -147,24 +150,24 @@
             exchange.close();
         });
         server.start();
-        backends.add(server);
-        arrivals.put(name, came);
-        list(name, server.getAddress().getPort(), sinceMs);
+        backendServers.add(server);
+        arrivalTimesMs.put(name, backendArrivalTimesMs);
+        registerServer(name, server.getAddress().getPort(), sinceMs);
     }
 
     /** Registers a server with the list service, whether or not it listens on the port. */
-    void list(String name, int port, long sinceMs) throws Exception {
-        Caller.Answer answer = registry.register(name, "127.0.0.1:" + port, ",\"since_ms\":" + sinceMs);
+    void registerServer(String name, int port, long sinceMs) throws Exception {
+        Caller.Answer answer = registryClient.register(name, "127.0.0.1:" + port, ",\"since_ms\":" + sinceMs);
         if (answer.status() != 200) {
             throw new IOException(answer.toString());
         }
     }
 
-    private int ask(int proxy, String call) {
+    private int requestStatus(int proxy, String request) {
         try (java.net.Socket socket = new java.net.Socket(InetAddress.getByName(Bench.HOST),
-                ports.get(proxy))) {
+                listenPorts.get(proxy))) {
             socket.setSoTimeout(10_000);
-            Peer.Message answer = new Bench.Client(socket, socket.getInputStream()).send(call).answer();
+            Peer.Message answer = new Bench.Client(socket, socket.getInputStream()).send(request).answer();
             return answer == null ? -1 : Integer.parseInt(answer.line().split(" ")[1]);
         } catch (IOException e) {
             return -1;
@@ -175,24 +178,24 @@
      * Sends a request of class {@code look} to a proxy. Returns the status of the answer, or -1 if there was
      * no answer.
      */
-    int look(int proxy) {
-        return ask(proxy, "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: r" + System.nanoTime()
+    int sendLook(int proxy) {
+        return requestStatus(proxy, "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: r" + System.nanoTime()
                 + "\r\nX-Call-Class: look\r\nX-Budget-Ms: 5000\r\nConnection: close\r\n\r\n");
     }
 
     /** Returns the JSON object at a path of a proxy's admin address; empty if the proxy doesn't answer. */
-    Map<?, ?> table(int proxy, String path) {
-        try (var in = URI.create("http://" + Bench.HOST + ":" + admins.get(proxy) + path).toURL()
+    Map<?, ?> adminJson(int proxy, String path) {
+        try (var input = URI.create("http://" + Bench.HOST + ":" + adminPorts.get(proxy) + path).toURL()
                 .openStream()) {
-            return Json.object(in.readAllBytes());
+            return Json.object(input.readAllBytes());
         } catch (IOException e) {
             return Map.of();
         }
     }
 
     /** Returns the verdicts in force at a proxy, each as {@code SERVER REASON}. */
-    java.util.Set<String> verdicts(int proxy) {
-        if (!(table(proxy, "/ops/shared").get("verdicts") instanceof Map<?, ?> verdicts)) {
+    java.util.Set<String> verdictsInForce(int proxy) {
+        if (!(adminJson(proxy, "/ops/shared").get("verdicts") instanceof Map<?, ?> verdicts)) {
             return java.util.Set.of("no answer");
         }
         return ((List<?>) verdicts.get("in_force")).stream().map(v -> (Map<?, ?>) v)
@@ -200,8 +203,8 @@
     }
 
     /** Returns the number of members that a proxy considers alive. */
-    long alive(int proxy) {
-        return table(proxy, "/ops/members").get("members") instanceof List<?> rows
+    long aliveMemberCount(int proxy) {
+        return adminJson(proxy, "/ops/members").get("members") instanceof List<?> rows
                 ? rows.stream().filter(r -> "alive".equals(((Map<?, ?>) r).get("state"))).count() : 0;
     }
 
@@ -212,8 +215,8 @@
                 proxy.close();
             }
         }
-        service.close();
+        listService.close();
         relay.close();
-        backends.forEach(server -> server.stop(0));
+        backendServers.forEach(server -> server.stop(0));
     }
 }
--- a/src/test/java/larkworks/proxy/ProxyMembersTest.java
+++ b/src/test/java/larkworks/proxy/ProxyMembersTest.java
@@ -25,29 +25,30 @@
     @TempDir
     Path folder;
 
-    private final List<Integer> admins = new ArrayList<>();
+    private final List<Integer> adminPorts = new ArrayList<>();
 
     /**
      * Returns the state of a member as one of the processes sees it, or the text of the error if that process
      * doesn't answer yet.
      */
-    private String held(int by, int about) {
-        try (var in = URI.create("http://" + Bench.HOST + ":" + admins.get(by) + "/ops/members").toURL()
-                .openStream()) {
-            Map<?, ?> table = Json.object(in.readAllBytes());
-            assertEquals(by, table.get("self"));
-            return String.valueOf(((Map<?, ?>) ((List<?>) table.get("members")).get(about)).get("state"));
+    private String memberState(int observer, int member) {
+        try (var input = URI.create("http://" + Bench.HOST + ":" + adminPorts.get(observer) + "/ops/members")
+                .toURL().openStream()) {
+            Map<?, ?> membersJson = Json.object(input.readAllBytes());
+            assertEquals(observer, membersJson.get("self"));
+            return String.valueOf(
+                    ((Map<?, ?>) ((List<?>) membersJson.get("members")).get(member)).get("state"));
         } catch (IOException e) {
             return e.toString();
         }
     }
 
     @Test
-    void proxiesSeeEachOtherLeaveAndDie() throws Exception {
+    void proxiesDetectMembersThatLeaveOrDie() throws Exception {
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName(Bench.HOST))) {
-                peers.add('"' + Bench.HOST + ":" + free.getLocalPort() + '"');
+            try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getByName(Bench.HOST))) {
+                peers.add('"' + Bench.HOST + ":" + freeSocket.getLocalPort() + '"');
             }
         }
         List<Process> processes = new ArrayList<>();
@@ -55,21 +56,21 @@
             for (int i = 0; i < 4; i++) {
                 bench.more = "\"peer_listen\":" + peers.get(i) + ",\"peers\":" + peers
                         + ",\"membership\":{\"probe_interval_ms\":200,\"probe_timeout_ms\":80},";
-                Path file = Files.writeString(folder.resolve(i + ".json"),
+                Path configFile = Files.writeString(folder.resolve(i + ".json"),
                         bench.config(Bench.freePort(), bench.all(1)));
-                admins.add(Bench.freePort());
+                adminPorts.add(Bench.freePort());
                 ProcessBuilder builder = new ProcessBuilder("java", "-XX:+UseSerialGC", "-Xmx40m", "-cp",
                         System.getProperty("java.class.path"), "larkworks.cli.Larkworks", "proxy")
                         .redirectError(folder.resolve(i + ".log").toFile());
-                builder.environment().putAll(Map.of("GW_CONFIG", file.toString(), "GW_ADMIN_ADDR",
-                        Bench.HOST + ":" + admins.get(i), "TMPDIR", folder.toString()));
+                builder.environment().putAll(Map.of("GW_CONFIG", configFile.toString(), "GW_ADMIN_ADDR",
+                        Bench.HOST + ":" + adminPorts.get(i), "TMPDIR", folder.toString()));
                 processes.add(builder.start());
             }
-            await(() -> List.of(0, 1, 2, 3).stream().allMatch(i -> held(i, 3).equals("alive")));
+            await(() -> List.of(0, 1, 2, 3).stream().allMatch(i -> memberState(i, 3).equals("alive")));
             processes.get(3).destroy();
-            await(() -> List.of(0, 1, 2).stream().allMatch(i -> held(i, 3).equals("left")));
+            await(() -> List.of(0, 1, 2).stream().allMatch(i -> memberState(i, 3).equals("left")));
             processes.get(2).destroyForcibly();
-            await(() -> held(0, 2).equals("dead") && held(1, 2).equals("dead"));
+            await(() -> memberState(0, 2).equals("dead") && memberState(1, 2).equals("dead"));
             String log = Files.readString(folder.resolve("0.log"));
             assertTrue(log.contains("\"about\":3,\"from\":\"alive\",\"to\":\"left\""), log);
         } finally {
@@ -78,9 +79,9 @@
     }
 
     private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "the condition did not hold within 30 s");
+            assertTrue(System.nanoTime() < deadlineNs, "the condition did not hold within 30 s");
             Thread.sleep(50);
         }
     }
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -74,7 +74,7 @@
                 client.look("r" + i);
                 bench.backends.get(0).next().reply(200, "answer " + i);
                 assertEquals("answer " + i, client.answer().text());
-                BackendPoolTest.letRest();
+                BackendPoolTest.awaitReuseDelay();
             }
             assertEquals(1, bench.backends.get(0).connections());
         }
--- a/src/test/java/larkworks/proxy/SharedExperiment.java
+++ b/src/test/java/larkworks/proxy/SharedExperiment.java
@@ -22,7 +22,7 @@
  */
 public final class SharedExperiment {
 
-    private static final String MEMBERSHIP =
+    private static final String MEMBERSHIP_AND_LOG_CONFIG =
             "\"membership\":{},\"logs\":{\"levels\":{\"shared\":\"debug\"}},";
 
     private SharedExperiment() { }
@@ -31,62 +31,68 @@
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("shared");
         if (args[0].equals("budget")) {
-            budget(folder, Integer.parseInt(args[1]));
+            measureBudget(folder, Integer.parseInt(args[1]));
             return;
         }
-        int size = Integer.parseInt(args[0]);
-        try (ProxyFleet fleet = new ProxyFleet(size, folder, MEMBERSHIP + "\"shared\":{},", 1_000_000)) {
-            fleet.backend("well", 0);
-            fleet.start();
-            Program.await(60, () -> "not all members are alive", () -> fleet.alive(0) == size);
-            times(fleet, size, 5, 0);  // warm-up: these times are not counted
+        int proxyCount = Integer.parseInt(args[0]);
+        try (ProxyFleet fleet = new ProxyFleet(proxyCount, folder,
+                MEMBERSHIP_AND_LOG_CONFIG + "\"shared\":{},", 1_000_000)) {
+            fleet.startBackend("well", 0);
+            fleet.startAll();
+            Program.await(60, () -> "not all members are alive",
+                    () -> fleet.aliveMemberCount(0) == proxyCount);
+            measureSpreadTimesMs(fleet, proxyCount, 5, 0);  // warm-up: these times are not counted
             for (int i = 2; i < args.length; i++) {
-                verdicts(fleet, size, Integer.parseInt(args[1]), Double.parseDouble(args[i]), i);
+                measureVerdicts(fleet, proxyCount, Integer.parseInt(args[1]), Double.parseDouble(args[i]), i);
             }
         }
     }
 
-    private static void verdicts(ProxyFleet fleet, int size, int trials, double loss, int round)
+    private static void measureVerdicts(ProxyFleet fleet, int proxyCount, int trials, double loss, int round)
             throws Exception {
         fleet.relay.loss(loss);
-        long begun = System.nanoTime();
-        long bytes = fleet.relay.bytes.get();
-        List<Long> ms = times(fleet, size, trials, round);
-        double seconds = (System.nanoTime() - begun) / 1e9;
+        long startedNs = System.nanoTime();
+        long bytesBefore = fleet.relay.bytes.get();
+        List<Long> spreadTimesMs = measureSpreadTimesMs(fleet, proxyCount, trials, round);
+        double seconds = (System.nanoTime() - startedNs) / 1e9;
         System.out.printf("n=%d loss=%.2f trials=%d time-to-all median=%d ms p99=%d ms max=%d ms "
                 + "bytes/member/s=%.0f%n",
-                size, loss, trials, ms.get(ms.size() / 2), ms.get((int) Math.ceil(0.99 * ms.size()) - 1),
-                ms.get(ms.size() - 1), (fleet.relay.bytes.get() - bytes) / seconds / size);
+                proxyCount, loss, trials, spreadTimesMs.get(spreadTimesMs.size() / 2),
+                spreadTimesMs.get((int) Math.ceil(0.99 * spreadTimesMs.size()) - 1),
+                spreadTimesMs.get(spreadTimesMs.size() - 1),
+                (fleet.relay.bytes.get() - bytesBefore) / seconds / proxyCount);
     }
 
     /** Returns how long each verdict took to reach all proxies, in ms, in ascending order. */
-    private static List<Long> times(ProxyFleet fleet, int size, int trials, int round) throws Exception {
-        List<Long> ms = new ArrayList<>();
-        for (int t = 0; t < trials; t++) {
-            String name = "down-" + round + "-" + t;
-            int origin = t % size;
-            fleet.list(name, 2 + round * trials + t, 0);
-            Program.await(60, () -> "no verdict on " + name, () -> fleet.look(origin) > 0
-                    && first(fleet, origin, "own verdict", name) > 0);
-            long wrote = first(fleet, origin, "own verdict", name);
-            long last = wrote;
-            for (int i = 0; i < size; i++) {
-                int other = i;
-                if (other != origin) {
-                    Program.await(60, () -> name + ": no verdict received by proxy " + other,
-                            () -> first(fleet, other, "a peer's verdict", name) > 0);
-                    last = Math.max(last, first(fleet, other, "a peer's verdict", name));
+    private static List<Long> measureSpreadTimesMs(ProxyFleet fleet, int proxyCount, int trials, int round)
+            throws Exception {
+        List<Long> spreadTimesMs = new ArrayList<>();
+        for (int trial = 0; trial < trials; trial++) {
+            String server = "down-" + round + "-" + trial;
+            int origin = trial % proxyCount;
+            fleet.registerServer(server, 2 + round * trials + trial, 0);
+            Program.await(60, () -> "no verdict on " + server, () -> fleet.sendLook(origin) > 0
+                    && firstLoggedMs(fleet, origin, "own verdict", server) > 0);
+            long originLoggedMs = firstLoggedMs(fleet, origin, "own verdict", server);
+            long lastLoggedMs = originLoggedMs;
+            for (int i = 0; i < proxyCount; i++) {
+                int otherProxy = i;
+                if (otherProxy != origin) {
+                    Program.await(60, () -> server + ": no verdict received by proxy " + otherProxy,
+                            () -> firstLoggedMs(fleet, otherProxy, "a peer's verdict", server) > 0);
+                    lastLoggedMs = Math.max(lastLoggedMs,
+                            firstLoggedMs(fleet, otherProxy, "a peer's verdict", server));
                 }
             }
-            ms.add(last - wrote);
-            fleet.registry.status(name, "terminated");
+            spreadTimesMs.add(lastLoggedMs - originLoggedMs);
+            fleet.registryClient.status(server, "terminated");
         }
-        ms.sort(null);
-        return ms;
+        spreadTimesMs.sort(null);
+        return spreadTimesMs;
     }
 
     /** Returns when a proxy first logged a message about a server, in Unix ms; 0 if it has not done so. */
-    private static long first(ProxyFleet fleet, int proxy, String message, String server) {
+    private static long firstLoggedMs(ProxyFleet fleet, int proxy, String message, String server) {
         for (String line : fleet.proxies.get(proxy).lines) {
             if (line.contains(message) && line.contains('"' + server + '"')) {
                 try {
@@ -99,61 +105,63 @@
         return 0;
     }
 
-    private static void budget(Path folder, int seconds) throws Exception {
-        int requests = 50;
+    private static void measureBudget(Path folder, int seconds) throws Exception {
+        int budgetRequests = 50;
         int windowMs = 1_000;
-        try (ProxyFleet fleet = new ProxyFleet(10, folder, MEMBERSHIP + "\"shared\":{\"cold\":{\"requests\":"
-                + requests + ",\"window_ms\":" + windowMs + "}},", 600_000_000)) {
-            fleet.backend("warm", 0);
-            fleet.start();
-            AtomicBoolean over = new AtomicBoolean();
-            Map<Integer, Thread> callers = new HashMap<>();
+        try (ProxyFleet fleet = new ProxyFleet(10, folder,
+                MEMBERSHIP_AND_LOG_CONFIG + "\"shared\":{\"cold\":{\"requests\":" + budgetRequests
+                        + ",\"window_ms\":" + windowMs + "}},", 600_000_000)) {
+            fleet.startBackend("warm", 0);
+            fleet.startAll();
+            AtomicBoolean stopped = new AtomicBoolean();
+            Map<Integer, Thread> clientThreads = new HashMap<>();
             for (int i = 0; i < 10; i++) {
                 int proxy = i;
                 // Demand differs: the first proxy sends without a pause, the last one sends the least.
-                callers.put(i, new Thread(() -> {
-                    while (!over.get()) {
-                        fleet.look(proxy);
-                        pause(proxy * 5);
+                clientThreads.put(i, new Thread(() -> {
+                    while (!stopped.get()) {
+                        fleet.sendLook(proxy);
+                        sleep(proxy * 5);
                     }
                 }));
-                callers.get(i).setDaemon(true);
-                callers.get(i).start();
+                clientThreads.get(i).setDaemon(true);
+                clientThreads.get(i).start();
             }
-            fleet.backend("cold", WallClock.unixMs());
-            pause(seconds * 300);
+            fleet.startBackend("cold", WallClock.unixMs());
+            sleep(seconds * 300);
             fleet.relay.partition(1, 0, 0, 0, 0, 0, 0, 0, 0, 0);
             fleet.relay.loss(0.2);
             fleet.proxies.get(9).kill();
-            pause(seconds * 300);
-            fleet.start(9);
-            pause(seconds * 400);
-            over.set(true);
-            List<Long> arrivals = fleet.arrivals.get("cold").stream().sorted().toList();
+            sleep(seconds * 300);
+            fleet.startProxy(9);
+            sleep(seconds * 400);
+            stopped.set(true);
+            List<Long> coldArrivalsMs = fleet.arrivalTimesMs.get("cold").stream().sorted().toList();
             System.out.printf("budget=%d in %d ms: maximum in any window=%d (overshoot %d), mean=%.1f/s "
                     + "over %d s%n",
-                    requests, windowMs, most(arrivals, windowMs), Math.max(0, most(arrivals, windowMs)
-                    - requests), arrivals.size() * 1.0 / seconds, seconds);
+                    budgetRequests, windowMs, maxArrivalsInWindow(coldArrivalsMs, windowMs),
+                    Math.max(0, maxArrivalsInWindow(coldArrivalsMs, windowMs) - budgetRequests),
+                    coldArrivalsMs.size() * 1.0 / seconds, seconds);
         }
     }
 
-    private static void pause(int ms) {
+    private static void sleep(int durationMs) {
         try {
-            Thread.sleep(ms);
+            Thread.sleep(durationMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** Returns the maximum number of arrivals in any window of the given length. */
-    static int most(List<Long> sorted, long windowMs) {
-        int most = 0;
-        for (int from = 0, to = 0; to < sorted.size(); to++) {
-            while (sorted.get(to) - sorted.get(from) >= windowMs) {
+    static int maxArrivalsInWindow(List<Long> sortedTimesMs, long windowMs) {
+        int max = 0;
+        for (int from = 0, to = 0; to < sortedTimesMs.size(); to++) {
+            while (sortedTimesMs.get(to) - sortedTimesMs.get(from) >= windowMs) {
                 from++;
             }
-            most = Math.max(most, to - from + 1);
+            max = Math.max(max, to - from + 1);
         }
-        return most;
+        return max;
     }
 }
--- a/src/test/java/larkworks/proxy/StartupExperiment.java
+++ b/src/test/java/larkworks/proxy/StartupExperiment.java
@@ -25,9 +25,9 @@
 
     /** An address at which nothing else on this machine listens, so that a free port stays free. */
     private static final String HOST = "127.31.7.3";
-    private static final int BACKENDS = 10;
-    private static final long POLL_MS = 20;
-    private static final long LIMIT_S = 60;
+    private static final int BACKEND_COUNT = 10;
+    private static final long POLL_INTERVAL_MS = 20;
+    private static final long READY_TIMEOUT_S = 60;
 
     private StartupExperiment() { }
 
@@ -36,42 +36,43 @@
         List<DiscoveryStandIn.Way> ways = args.length > 3
                 ? Arrays.stream(args).skip(3).map(DiscoveryStandIn.Way::valueOf).toList()
                 : List.of(DiscoveryStandIn.Way.values());
-        for (String n : args[2].split(",")) {
+        for (String processCountText : args[2].split(",")) {
             for (DiscoveryStandIn.Way way : ways) {
-                measure(args[0], args[1].equals("admin"), Integer.parseInt(n), way);
+                measure(args[0], args[1].equals("admin"), Integer.parseInt(processCountText), way);
             }
         }
         System.exit(0);  // the stand-in's server leaves threads that keep the process alive
     }
 
-    private static void measure(String cores, boolean admin, int size, DiscoveryStandIn.Way way)
-            throws Exception {
-        String[] entries = new String[BACKENDS];
-        for (int i = 0; i < BACKENDS; i++) {
+    private static void measure(String cores, boolean hasAdminAddress, int processCount,
+            DiscoveryStandIn.Way way) throws Exception {
+        String[] entries = new String[BACKEND_COUNT];
+        for (int i = 0; i < BACKEND_COUNT; i++) {
             entries[i] = Bench.entry("b" + i, "127.0.0.1:" + (i + 1), "in_service");
         }
-        String list = Bench.list(1, true, entries);
+        String listJson = Bench.list(1, true, entries);
         Path folder = Files.createTempDirectory("startup");
         List<RunCommand> processes = new ArrayList<>();
-        long[] ms = new long[size];
-        long[] ticks = new long[size];
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(way, list); Bench bench = new Bench(0)) {
+        long[] readyAfterMs = new long[processCount];
+        long[] processorTicks = new long[processCount];
+        try (DiscoveryStandIn discovery = new DiscoveryStandIn(way, listJson); Bench bench = new Bench(0)) {
             Set<Integer> ports = new HashSet<>();
-            while (ports.size() < 2 * size) {
+            while (ports.size() < 2 * processCount) {
                 ports.add(Bench.freePort());  // may return a port twice, since it is closed again
             }
-            List<Integer> free = List.copyOf(ports);
+            List<Integer> freePorts = List.copyOf(ports);
             List<Thread> pollers = new ArrayList<>();
-            for (int i = 0; i < size; i++) {
-                Path own = Files.createDirectory(folder.resolve("own" + i));
+            for (int i = 0; i < processCount; i++) {
+                Path processFolder = Files.createDirectory(folder.resolve("own" + i));
                 Path config = Files.writeString(folder.resolve("config" + i + ".json"),
-                        bench.config(free.get(i), list).replace(Bench.HOST, HOST)
+                        bench.config(freePorts.get(i), listJson).replace(Bench.HOST, HOST)
                                 .replace(bench.discovery.address(), discovery.address()));
-                RunCommand run = new RunCommand(cores, config, own, admin
-                        ? Map.of("GW_ADMIN_ADDR", HOST + ":" + free.get(size + i)) : Map.of());
-                processes.add(run);
-                int at = i;
-                Thread poller = new Thread(() -> ms[at] = awaitReady(run, free.get(at), ticks, at));
+                RunCommand runCommand = new RunCommand(cores, config, processFolder, hasAdminAddress
+                        ? Map.of("GW_ADMIN_ADDR", HOST + ":" + freePorts.get(processCount + i)) : Map.of());
+                processes.add(runCommand);
+                int index = i;
+                Thread poller = new Thread(() -> readyAfterMs[index] =
+                        awaitReady(runCommand, freePorts.get(index), processorTicks, index));
                 poller.setDaemon(true);
                 poller.start();
                 pollers.add(poller);
@@ -79,41 +80,43 @@
             for (Thread poller : pollers) {
                 poller.join();
             }
-            Arrays.sort(ms);
-            Arrays.sort(ticks);
+            Arrays.sort(readyAfterMs);
+            Arrays.sort(processorTicks);
             System.out.printf("%-8s n=%-3d %s: ready after median=%.2f s p90=%.2f s max=%.2f s, processor "
-                    + "time median=%.2f s max=%.2f s, list requested %d times%n", way, size,
-                    admin ? "admin address" : "no admin address", ms[size / 2] / 1e3,
-                    ms[(int) Math.ceil(0.9 * size) - 1] / 1e3, ms[size - 1] / 1e3, ticks[size / 2] / 1e2,
-                    ticks[size - 1] / 1e2, discovery.calls.get());
+                    + "time median=%.2f s max=%.2f s, list requested %d times%n", way, processCount,
+                    hasAdminAddress ? "admin address" : "no admin address",
+                    readyAfterMs[processCount / 2] / 1e3,
+                    readyAfterMs[(int) Math.ceil(0.9 * processCount) - 1] / 1e3,
+                    readyAfterMs[processCount - 1] / 1e3, processorTicks[processCount / 2] / 1e2,
+                    processorTicks[processCount - 1] / 1e2, discovery.calls.get());
         } finally {
             processes.forEach(RunCommand::close);
-            for (RunCommand run : processes) {
-                run.process.waitFor();
+            for (RunCommand runCommand : processes) {
+                runCommand.process.waitFor();
             }
         }
     }
 
-    private static long awaitReady(RunCommand run, int port, long[] ticks, int at) {
-        while (System.nanoTime() - run.startedNs < TimeUnit.SECONDS.toNanos(LIMIT_S)) {
+    private static long awaitReady(RunCommand runCommand, int port, long[] processorTicks, int index) {
+        while (System.nanoTime() - runCommand.startedNs < TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S)) {
             try (Socket socket = new Socket(InetAddress.getByName(HOST), port)) {
                 socket.setSoTimeout(10_000);
                 Peer.Message answer = new Bench.Client(socket, socket.getInputStream())
                         .send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer();
                 if (answer != null && answer.line().split(" ")[1].equals("200")) {
-                    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - run.startedNs);
-                    ticks[at] = run.processorTicks();
+                    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - runCommand.startedNs);
+                    processorTicks[index] = runCommand.processorTicks();
                     return tookMs;
                 }
             } catch (IOException e) {
                 // The process does not listen yet, or does not answer yet.
             }
             try {
-                Thread.sleep(POLL_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        throw new IllegalStateException("not ready after " + LIMIT_S + " s, port " + port);
+        throw new IllegalStateException("not ready after " + READY_TIMEOUT_S + " s, port " + port);
     }
 }
