--- /dev/null
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -0,0 +1,435 @@
+package larkworks.proxy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import larkworks.Program;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Tests that the proxy applies changes at discovery in time: 6 s after a change it counts as delivered to
+ * the proxy, even if calls to discovery failed, hung or were reset in between.
+ */
+@Timeout(180)
+class DiscoveryDeadlinesTest {
+
+    /**
+     * A change counts as delivered this long after a reachable discovery had it, or after the watch that
+     * should have reported it stopped receiving.
+     */
+    private static final long DELIVERY_LIMIT_MS = 6_000;
+    /** Maximum measurements; the best one counts, as a busy machine only makes a measured time longer. */
+    private static final int MAX_TRIES = 3;
+    /** The number of backends in the largest deployment that is tested. */
+    private static final int LARGE_LIST_SIZE = 1_100;
+
+    @TempDir
+    Path folder;
+
+    /** An action that returns its duration. */
+    private interface TimedAction {
+        long runMs() throws Exception;
+    }
+
+    private static void assertBestTryWithin(long limitMs, TimedAction action) throws Exception {
+        List<Long> durationsMs = new ArrayList<>();
+        do {
+            durationsMs.add(action.runMs());
+        } while (durationsMs.get(durationsMs.size() - 1) >= limitMs && durationsMs.size() < MAX_TRIES);
+        assertTrue(durationsMs.get(durationsMs.size() - 1) < limitMs,
+                "every try took too long, in ms: " + durationsMs);
+    }
+
+    private static long elapsedMs(long startNs) {
+        return (System.nanoTime() - startNs) / 1_000_000;
+    }
+
+    /** Awaits the call that proves that the proxy accepted the list with this index; returns the call. */
+    private static Peer.Message awaitCallAfterList(Bench bench, int index) throws Exception {
+        Peer.Message call = bench.discovery.next();
+        assertTrue(call.line().contains("?index=" + index + "&"), call.line());
+        return call;
+    }
+
+    /** Makes a call fail: resets or closes its connection, or answers it without a list. */
+    private static void failCall(Peer.Message call, String failure) throws Exception {
+        switch (failure) {
+            case "reset" -> call.reset();
+            case "end" -> call.socket().close();
+            case "empty" -> call.reply(200, "");
+            default -> call.reply(Integer.parseInt(failure), "");
+        }
+    }
+
+    private static String listWithFirstDraining(Bench bench, int index) {
+        return Bench.list(index, true, bench.entry(0, "terminating"), bench.entry(1, "in_service"));
+    }
+
+    private static void assertServedBy(Bench bench, int backend) throws Exception {
+        for (int i = 0; i < 5; i++) {
+            assertEquals(backend, bench.served());
+        }
+    }
+
+    /**
+     * Discovery fails several calls and recovers. The first call after that gets no answer, the next one
+     * gets a list in which a backend drains.
+     */
+    @ParameterizedTest
+    @CsvSource({"pushed,503", "pushed,reset", "on_request,503", "on_request,end"})
+    void appliesADrainInTimeThoughTheFirstCallAfterAnOutageHangs(String mode, String failure)
+            throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.mode = mode;
+            bench.drainGraceUs = 5_000_000;
+            bench.askEveryUs = 40_000_000;
+            bench.start(folder);
+            bench.discovery.next().reply(200, bench.all(1));
+            int[] index = {1};
+            assertBestTryWithin(DELIVERY_LIMIT_MS, () -> {
+                for (int i = 0; i < 5; i++) {
+                    failCall(bench.discovery.next(), failure);
+                }
+                long recoveredNs = System.nanoTime();
+                bench.discovery.next();
+                bench.discovery.next().reply(200, listWithFirstDraining(bench, ++index[0]));
+                Peer.Message watch = awaitCallAfterList(bench, index[0]);
+                long tookMs = elapsedMs(recoveredNs);
+                assertServedBy(bench, 1);
+                watch.reply(200, bench.all(++index[0]));
+                return tookMs;
+            });
+        }
+    }
+
+    /**
+     * Where discovery handles calls one by one, the proxy's first call may be the only one that can report
+     * a drain right after the start.
+     */
+    @Test
+    void watchesFromTheConfiguredListInOnRequestMode() throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.mode = "on_request";
+            bench.start(folder, bench.all(7));
+            Peer.Message watch = awaitCallAfterList(bench, 7);
+            watch.reply(200, Bench.list(8, false, bench.entry(0, "terminating")));
+            awaitCallAfterList(bench, 8);
+            assertServedBy(bench, 1);
+        }
+    }
+
+    /** Discovery may no longer know the index of the list in the configuration, and then answers 404. */
+    @Test
+    void requestsTheFullListIfTheConfiguredIndexIsRejected() throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.mode = "on_request";
+            bench.start(folder, bench.all(7));
+            awaitCallAfterList(bench, 7).reply(404, "");
+            Peer.Message fullListCall = bench.discovery.next();
+            assertEquals("GET /registry/instances HTTP/1.1", fullListCall.line());
+            fullListCall.reply(200, listWithFirstDraining(bench, 2));
+            awaitCallAfterList(bench, 2);
+            assertServedBy(bench, 1);
+        }
+    }
+
+    /**
+     * Discovery handles calls one by one, so that each answer takes long. The proxy must not abandon every
+     * call before its answer.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"pushed", "on_request"})
+    void waitsForAListFromASlowDiscovery(String mode) throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.mode = mode;
+            bench.start(folder);
+            bench.discovery.next().awaitEnd();
+            Peer.Message call = bench.discovery.next();
+            // The first call timed out after 2 s; the second must still be open after 2.6 s.
+            Thread.sleep(2_600);
+            call.reply(200, listWithFirstDraining(bench, 2));
+            awaitCallAfterList(bench, 2);
+            assertServedBy(bench, 1);
+        }
+    }
+
+    /**
+     * Some watches are answered, a later one hangs, and the call that reopens it is refused. The time limit
+     * is the same however long the proxy has been running.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"pushed", "on_request"})
+    void appliesInTimeADrainMissedByAHangingWatchThoughItsReopeningFails(String mode) throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.mode = mode;
+            bench.start(folder);
+            bench.discovery.next().reply(200, bench.all(1));
+            int[] index = {1};
+            assertBestTryWithin(DELIVERY_LIMIT_MS, () -> {
+                for (int i = 0; i < 4; i++) {
+                    Peer.Message watch = awaitCallAfterList(bench, index[0]);
+                    watch.reply(200, Bench.list(++index[0], false));
+                }
+                Peer.Message hangingWatch = awaitCallAfterList(bench, index[0]);
+                long hangStartNs = System.nanoTime();
+                hangingWatch.awaitEnd();
+                bench.discovery.next().reply(503, "");
+                bench.discovery.next().reply(200, listWithFirstDraining(bench, ++index[0]));
+                Peer.Message nextWatch = awaitCallAfterList(bench, index[0]);
+                long tookMs = elapsedMs(hangStartNs);
+                assertServedBy(bench, 1);
+                nextWatch.reply(200, bench.all(++index[0]));
+                return tookMs;
+            });
+        }
+    }
+
+    /**
+     * A watch ends instead of reporting that a backend drains, and the full list that follows no longer
+     * contains this backend.
+     */
+    @ParameterizedTest
+    @CsvSource({"pushed,reset", "pushed,end", "pushed,empty", "on_request,reset", "on_request,end",
+        "on_request,empty"})
+    void sendsNothingToABackendMissingFromTheFullListAfterAWatchEnded(String mode, String failure)
+            throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.mode = mode;
+            bench.probes = true;
+            bench.start(folder);
+            bench.discovery.next().reply(200, bench.all(1));
+            Peer.Message watch = awaitCallAfterList(bench, 1);
+            Bench.Client client = bench.client().look("in flight");
+            int removedIndex = -1;
+            Peer.Message inFlight = null;
+            while (inFlight == null) {
+                removedIndex = bench.awaitBackend();
+                Peer.Message request = bench.backends.get(removedIndex).next();
+                if (request.line().startsWith("GET /stats")) {
+                    request.reply(200, "inflight=0");
+                } else {
+                    inFlight = request;
+                }
+            }
+            failCall(watch, failure);
+            bench.discovery.next()
+                    .reply(200, Bench.list(2, true, bench.entry(1 - removedIndex, "in_service")));
+            awaitCallAfterList(bench, 2);
+            bench.settle();
+            Peer removedBackend = bench.backends.get(removedIndex);
+            while (removedBackend.waiting() > 0) {
+                assertTrue(removedBackend.next().line().startsWith("GET /stats"),
+                        "only probes from before the new list may be pending");
+            }
+            int connections = removedBackend.connections();
+            for (int i = 0; i < 10; i++) {
+                serveByBackend(bench, 1 - removedIndex, "r" + i);
+            }
+            assertEquals(0, removedBackend.waiting(),
+                    "the removed backend must receive neither requests nor probes");
+            assertEquals(connections, removedBackend.connections());
+            inFlight.reply(200, "finished");
+            assertEquals("finished", client.answer().text());
+        }
+    }
+
+    private static void serveByBackend(Bench bench, int backend, String id) throws Exception {
+        Bench.Client client = bench.client().look(id);
+        Peer.Message request = bench.backends.get(backend).next();
+        while (request.line().startsWith("GET /stats")) {
+            request.reply(200, "inflight=0");
+            request = bench.backends.get(backend).next();
+        }
+        request.reply(200, "");
+        assertEquals(200, client.status());
+    }
+
+    /**
+     * An attempt that is still connecting to a removed backend moves to another one, long before the connect
+     * timeout or the drain grace ends.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"not listed", "terminated"})
+    void movesAConnectingAttemptAwayFromARemovedBackend(String removal) throws Exception {
+        try (Bench bench = new Bench(1); Hanging hangingBackend = new Hanging()) {
+            bench.connectTimeoutUs = 25_000_000;
+            bench.drainGraceUs = 60_000_000;
+            String initialList = Bench.list(1, true,
+                    Bench.entry("b", hangingBackend.address(), "in_service"));
+            bench.start(folder, initialList);
+            bench.discovery.next().reply(200, initialList);
+            Peer.Message watch = awaitCallAfterList(bench, 1);
+            Bench.Client client = bench.client().look("r");
+            bench.settle();
+            watch.reply(200, removal.equals("not listed") ? Bench.list(2, true, bench.entry(0, "in_service"))
+                    : Bench.list(2, false, Bench.entry("b", hangingBackend.address(), "terminated"),
+                            bench.entry(0, "in_service")));
+            bench.backends.get(0).next().reply(200, "elsewhere");
+            assertEquals("elsewhere", client.answer().text());
+        }
+    }
+
+    /** A watch is reset before a backend begins to drain, so only the reopened watch can report the drain. */
+    @ParameterizedTest
+    @ValueSource(strings = {"pushed", "on_request"})
+    void appliesADrainSoonAfterItsWatchWasReset(String mode) throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.mode = mode;
+            bench.start(folder);
+            bench.discovery.next().reply(200, bench.all(1));
+            awaitCallAfterList(bench, 1).reset();
+            Peer.Message reopenedWatch = awaitCallAfterList(bench, 1);
+            reopenedWatch.reply(200, Bench.list(2, false, bench.entry(0, "terminating")));
+            awaitCallAfterList(bench, 2);
+            assertServedBy(bench, 1);
+        }
+    }
+
+    /**
+     * A new configuration names another discovery service. It never answers the first call there, and a
+     * backend drains right after its next answer.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"pushed", "on_request"})
+    void appliesADrainRightAfterAReload(String mode) throws Exception {
+        int port = Bench.freePort();
+        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
+            bench.mode = mode;
+            bench.at(port);
+            String config = bench.config(port, bench.all(1));
+            Path file = Files.writeString(folder.resolve("config.json"), config);
+            try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
+                bench.discovery.next().reply(200, bench.all(1));
+                awaitCallAfterList(bench, 1);
+                int[] reloads = {1};
+                int[] listIndex = {1};
+                String[] addresses = {bench.discovery.address(), otherDiscovery.address()};
+                assertBestTryWithin(4_000, () -> {
+                    String newAddress = addresses[reloads[0] % 2];
+                    Peer newDiscovery = newAddress.equals(otherDiscovery.address()) ? otherDiscovery
+                            : bench.discovery;
+                    Files.writeString(file, config.replace(bench.discovery.address(), newAddress));
+                    proxy.signal("HUP");
+                    Peer.Message unansweredCall = newDiscovery.next();
+                    long reloadNs = System.nanoTime();
+                    assertWatchesFrom(listIndex[0], unansweredCall);
+                    Peer.Message repeatedCall = newDiscovery.next();
+                    assertWatchesFrom(listIndex[0], repeatedCall);
+                    repeatedCall.reply(200, bench.all(listIndex[0] + 1));
+                    listIndex[0] += 2;
+                    newDiscovery.next().reply(200,
+                            Bench.list(listIndex[0], false, bench.entry(0, "terminating")));
+                    newDiscovery.next();
+                    long tookMs = elapsedMs(reloadNs);
+                    Program.await(20, proxy.lines::toString, () -> isReady(bench));
+                    assertServedBy(bench, 1);
+                    reloads[0]++;
+                    return tookMs;
+                });
+            }
+        }
+    }
+
+    private static void assertWatchesFrom(int index, Peer.Message call) {
+        assertTrue(call.line().contains("?index=" + index + "&"), call.line());
+    }
+
+    /**
+     * The discovery service that a reload names has lower indexes than the proxy's list, or answers 404 to
+     * its index.
+     */
+    @ParameterizedTest
+    @CsvSource({"pushed,lower", "pushed,404", "on_request,lower", "on_request,404"})
+    void requestsTheFullListIfTheNewDiscoveryDoesNotKnowTheIndex(String mode, String response)
+            throws Exception {
+        int port = Bench.freePort();
+        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
+            bench.mode = mode;
+            bench.at(port);
+            String config = bench.config(port, bench.all(7));
+            Path file = Files.writeString(folder.resolve("config.json"), config);
+            try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
+                bench.discovery.next().reply(200, Bench.list(7, false));
+                awaitCallAfterList(bench, 7);
+                Files.writeString(file, config.replace(bench.discovery.address(), otherDiscovery.address()));
+                proxy.signal("HUP");
+                Peer.Message firstCall = otherDiscovery.next();
+                assertWatchesFrom(7, firstCall);
+                if (response.equals("lower")) {
+                    firstCall.reply(200, Bench.list(3, false));
+                } else {
+                    firstCall.reply(Integer.parseInt(response), "");
+                }
+                Peer.Message fullListCall = otherDiscovery.next();
+                assertEquals("GET /registry/instances HTTP/1.1", fullListCall.line());
+                fullListCall.reply(200, listWithFirstDraining(bench, 3));
+                assertWatchesFrom(3, otherDiscovery.next());
+                Program.await(20, proxy.lines::toString, () -> isReady(bench));
+                assertServedBy(bench, 1);
+            }
+        }
+    }
+
+    private static boolean isReady(Bench bench) {
+        try {
+            return bench.client().send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
+        } catch (java.io.IOException e) {
+            return false;
+        }
+    }
+
+    /** The lists span many lines and arrive in parts whose boundaries may lie within a JSON token. */
+    @Test
+    void readsAnIndentedList() throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.start(folder);
+            sendIndented(bench.discovery.next(), listWithFirstDraining(bench, 2));
+            sendIndented(awaitCallAfterList(bench, 2), Bench.list(3, false, bench.entry(1, "terminating"),
+                    bench.entry(0, "in_service")));
+            awaitCallAfterList(bench, 3);
+            assertServedBy(bench, 0);
+        }
+    }
+
+    private static void sendIndented(Peer.Message call, String list) throws Exception {
+        String text = list.replace("{", "{\r\n\t  ").replace("[", "[\n").replace(",", " ,\n    ")
+                .replace("\":", "\" :\t").replace("}", "\n  }").replace("]", "\n]\n");
+        call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n");
+        int parts = 20;
+        for (int i = 0; i < parts; i++) {
+            call.raw(text.substring(text.length() * i / parts, text.length() * (i + 1) / parts));
+        }
+    }
+
+    /** Sends many backends as a full list, and then as changes that drain nearly all of them. */
+    @Test
+    void appliesAListOfManyBackends() throws Exception {
+        try (Bench bench = new Bench(2)) {
+            bench.start(folder);
+            sendIndented(bench.discovery.next(), largeList(bench, 2, true, "in_service"));
+            sendIndented(awaitCallAfterList(bench, 2), largeList(bench, 3, false, "terminating"));
+            awaitCallAfterList(bench, 3);
+            assertServedBy(bench, 1);
+        }
+    }
+
+    /** A list of the first backend under many names with the given status, and of the second in service. */
+    private static String largeList(Bench bench, int index, boolean isFull, String status) {
+        String[] entries = new String[LARGE_LIST_SIZE + 1];
+        for (int i = 0; i < LARGE_LIST_SIZE; i++) {
+            entries[i] = Bench.entry("many-" + i, bench.backends.get(0).address(), status);
+        }
+        entries[LARGE_LIST_SIZE] = bench.entry(1, "in_service");
+        return Bench.list(index, isFull, entries);
+    }
+}
--- a/src/test/java/larkworks/proxy/MemoryExperiment.java
+++ b/src/test/java/larkworks/proxy/MemoryExperiment.java
@@ -56,7 +56,7 @@
                     ? LargeFleet.membership(serverCount, 0, Bench.HOST + ":" + Bench.freePort()) : "";
             Path config = Files.writeString(folder.resolve("config.json"), bench.config(port,
                     LargeFleet.list(1, true, serverCount, i -> address, i -> "in_service")));
-            try (RunCommand run = new RunCommand("", config, folder, Map.of())) {
+            try (ProxyProcess proxyProcess = new ProxyProcess("", config, folder, Map.of())) {
                 bench.at(port);
                 Peer.Message discoveryCall = bench.discovery.next();
                 discoveryCall.reply(200,
@@ -65,20 +65,20 @@
                 Bench.Client client = awaitConnection(port);
                 Program.await(30, () -> "the proxy is not ready", () -> requestStatus(client,
                         "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200);
-                printMemory(serverCount, isMember, "idle", run);
+                printMemory(serverCount, isMember, "idle", proxyProcess);
                 for (int i = 0; i < REQUEST_COUNT; i++) {
                     if (requestStatus(client, "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: r" + i
                             + "\r\nX-Call-Class: look\r\nX-Budget-Ms: 5000\r\n\r\n") != 200) {
                         throw new IllegalStateException("request " + i + " was not served");
                     }
                 }
-                printMemory(serverCount, isMember, "after " + REQUEST_COUNT + " requests", run);
+                printMemory(serverCount, isMember, "after " + REQUEST_COUNT + " requests", proxyProcess);
                 for (int i = 0; i < FULL_LIST_COUNT; i++) {
                     discoveryCall.reply(200, LargeFleet.list(3 + i, true, serverCount, server -> address,
                             server -> "in_service"));
                     discoveryCall = bench.discovery.next();
                 }
-                printMemory(serverCount, isMember, "after " + FULL_LIST_COUNT + " full lists", run);
+                printMemory(serverCount, isMember, "after " + FULL_LIST_COUNT + " full lists", proxyProcess);
             }
         }
         backend.stop(0);
@@ -106,11 +106,12 @@
         }
     }
 
-    private static void printMemory(int serverCount, boolean isMember, String stage, RunCommand run)
-            throws Exception {
+    private static void printMemory(int serverCount, boolean isMember, String stage,
+            ProxyProcess proxyProcess) throws Exception {
         System.out.printf("servers=%d members=%d %s: resident=%d kB peak=%d kB, heap after a "
-                + "collection: %s%n", serverCount, isMember ? serverCount : 0, stage, run.memoryKb("VmRSS"),
-                run.memoryKb("VmHWM"), heapUsage(run.process.pid()));
+                + "collection: %s%n", serverCount, isMember ? serverCount : 0, stage,
+                proxyProcess.memoryKb("VmRSS"), proxyProcess.memoryKb("VmHWM"),
+                heapUsage(proxyProcess.process.pid()));
     }
 
     /** Returns the used and total size of the heap after a garbage collection. */
--- a/src/test/java/larkworks/proxy/StartupExperiment.java
+++ b/src/test/java/larkworks/proxy/StartupExperiment.java
@@ -15,11 +15,11 @@
 
 /**
  * Measures the start-up of proxies. This is not a test; run it from the root directory after a build with
- * {@code java -cp CLASSES larkworks.proxy.StartupExperiment CORES ADMIN N[,N...] [WAY...]}. It starts N
+ * {@code java -cp CLASSES larkworks.proxy.StartupExperiment CORES ADMIN N[,N...] [MODE...]}. It starts N
  * processes at once, with the deploy file's {@code run} command, on the given cores (in the form that taskset
- * takes). They have an admin address if ADMIN is {@code admin}. For each way in which discovery answers, it
- * prints the time from the start to the first status 200 of {@code GET /health/ready}, and the processor time
- * that a process had used by then.
+ * takes). They have an admin address if ADMIN is {@code admin}. For each response mode of the discovery stub,
+ * it prints the time from the start to the first status 200 of {@code GET /health/ready}, and the processor
+ * time that a process had used by then.
  */
 public final class StartupExperiment {
 
@@ -33,29 +33,29 @@
 
     /** Runs the experiment; the class comment describes the arguments. */
     public static void main(String[] args) throws Exception {
-        List<DiscoveryStandIn.Way> ways = args.length > 3
-                ? Arrays.stream(args).skip(3).map(DiscoveryStandIn.Way::valueOf).toList()
-                : List.of(DiscoveryStandIn.Way.values());
+        List<DiscoveryStub.ResponseMode> modes = args.length > 3
+                ? Arrays.stream(args).skip(3).map(DiscoveryStub.ResponseMode::valueOf).toList()
+                : List.of(DiscoveryStub.ResponseMode.values());
         for (String processCountText : args[2].split(",")) {
-            for (DiscoveryStandIn.Way way : ways) {
-                measure(args[0], args[1].equals("admin"), Integer.parseInt(processCountText), way);
+            for (DiscoveryStub.ResponseMode mode : modes) {
+                measure(args[0], args[1].equals("admin"), Integer.parseInt(processCountText), mode);
             }
         }
-        System.exit(0);  // the stand-in's server leaves threads that keep the process alive
+        System.exit(0);  // the stub's server leaves threads that keep the process alive
     }
 
     private static void measure(String cores, boolean hasAdminAddress, int processCount,
-            DiscoveryStandIn.Way way) throws Exception {
+            DiscoveryStub.ResponseMode mode) throws Exception {
         String[] entries = new String[BACKEND_COUNT];
         for (int i = 0; i < BACKEND_COUNT; i++) {
             entries[i] = Bench.entry("b" + i, "127.0.0.1:" + (i + 1), "in_service");
         }
         String listJson = Bench.list(1, true, entries);
         Path folder = Files.createTempDirectory("startup");
-        List<RunCommand> processes = new ArrayList<>();
+        List<ProxyProcess> processes = new ArrayList<>();
         long[] readyAfterMs = new long[processCount];
-        long[] processorTicks = new long[processCount];
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(way, listJson); Bench bench = new Bench(0)) {
+        long[] cpuTicks = new long[processCount];
+        try (DiscoveryStub discovery = new DiscoveryStub(mode, listJson); Bench bench = new Bench(0)) {
             Set<Integer> ports = new HashSet<>();
             while (ports.size() < 2 * processCount) {
                 ports.add(Bench.freePort());  // may return a port twice, since it is closed again
@@ -67,12 +67,12 @@
                 Path config = Files.writeString(folder.resolve("config" + i + ".json"),
                         bench.config(freePorts.get(i), listJson).replace(Bench.HOST, HOST)
                                 .replace(bench.discovery.address(), discovery.address()));
-                RunCommand runCommand = new RunCommand(cores, config, processFolder, hasAdminAddress
+                ProxyProcess proxyProcess = new ProxyProcess(cores, config, processFolder, hasAdminAddress
                         ? Map.of("GW_ADMIN_ADDR", HOST + ":" + freePorts.get(processCount + i)) : Map.of());
-                processes.add(runCommand);
+                processes.add(proxyProcess);
                 int index = i;
                 Thread poller = new Thread(() -> readyAfterMs[index] =
-                        awaitReady(runCommand, freePorts.get(index), processorTicks, index));
+                        awaitReady(proxyProcess, freePorts.get(index), cpuTicks, index));
                 poller.setDaemon(true);
                 poller.start();
                 pollers.add(poller);
@@ -81,31 +81,31 @@
                 poller.join();
             }
             Arrays.sort(readyAfterMs);
-            Arrays.sort(processorTicks);
+            Arrays.sort(cpuTicks);
             System.out.printf("%-8s n=%-3d %s: ready after median=%.2f s p90=%.2f s max=%.2f s, processor "
-                    + "time median=%.2f s max=%.2f s, list requested %d times%n", way, processCount,
+                    + "time median=%.2f s max=%.2f s, list requested %d times%n", mode, processCount,
                     hasAdminAddress ? "admin address" : "no admin address",
                     readyAfterMs[processCount / 2] / 1e3,
                     readyAfterMs[(int) Math.ceil(0.9 * processCount) - 1] / 1e3,
-                    readyAfterMs[processCount - 1] / 1e3, processorTicks[processCount / 2] / 1e2,
-                    processorTicks[processCount - 1] / 1e2, discovery.calls.get());
+                    readyAfterMs[processCount - 1] / 1e3, cpuTicks[processCount / 2] / 1e2,
+                    cpuTicks[processCount - 1] / 1e2, discovery.fullListCalls.get());
         } finally {
-            processes.forEach(RunCommand::close);
-            for (RunCommand runCommand : processes) {
-                runCommand.process.waitFor();
+            processes.forEach(ProxyProcess::close);
+            for (ProxyProcess proxyProcess : processes) {
+                proxyProcess.process.waitFor();
             }
         }
     }
 
-    private static long awaitReady(RunCommand runCommand, int port, long[] processorTicks, int index) {
-        while (System.nanoTime() - runCommand.startedNs < TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S)) {
+    private static long awaitReady(ProxyProcess proxyProcess, int port, long[] cpuTicks, int index) {
+        while (System.nanoTime() - proxyProcess.startNs < TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S)) {
             try (Socket socket = new Socket(InetAddress.getByName(HOST), port)) {
                 socket.setSoTimeout(10_000);
                 Peer.Message answer = new Bench.Client(socket, socket.getInputStream())
                         .send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer();
                 if (answer != null && answer.line().split(" ")[1].equals("200")) {
-                    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - runCommand.startedNs);
-                    processorTicks[index] = runCommand.processorTicks();
+                    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - proxyProcess.startNs);
+                    cpuTicks[index] = proxyProcess.cpuTicks();
                     return tookMs;
                 }
             } catch (IOException e) {
