--- a/src/test/java/larkworks/proxy/Bench.java
+++ b/src/test/java/larkworks/proxy/Bench.java
@@ -19,16 +19,21 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A proxy between a test's client, backends and discovery, all on loopback sockets. */
+/** Runs a proxy in the test's process, with stub backends, stub discovery and clients on loopback sockets. */
 final class Bench implements AutoCloseable {
 
-    /** Where proxies listen: no connection has its own end here, and with it a port that was free before. */
+    /**
+     * The address on which proxies listen. Outgoing connections get another local address, so none of them
+     * takes a port of this address that {@link #freePort} found free.
+     */
     static final String HOST = "127.31.7.1";
 
     final Peer discovery = new Peer();
     final List<Peer> backends = new ArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
-    /** Settings that a test may vary before the start. */
+    // A test may change these settings before it starts the proxy.
+
+    /** The configured discovery mode: "pushed" or "on_request". */
     String mode = "pushed";
     int sockets = 256;
     long keepAliveUs = 10_000_000;
@@ -36,15 +41,15 @@
     long drainGraceUs = 1_000_000;
     long askEveryUs = 10_000_000;
     boolean probes;
-    /** Proxies of the tier. */
+    /** The configured number of proxies that send to the same tier. */
     int copies = 1;
     boolean cancel = true;
     long dedupWindowUs = 30_000_000;
-    /** What the proxy's process would find in its environment. */
+    /** The environment variables that the proxy's configuration sees. */
     Map<String, String> environment = Map.of();
-    /** Further lines of the configuration, each with its comma. */
+    /** Further members of the configuration's JSON object, each followed by a comma. */
     String more = "";
-    /** Services to ask beside {@link #discovery}. */
+    /** Further discovery services in the configuration, behind {@link #discovery}. */
     List<Peer> others = List.of();
     private Thread lists;
     private volatile String list;
@@ -57,7 +62,7 @@
         }
     }
 
-    /** A line of discovery's list for backend {@code b<i>}. */
+    /** Returns an entry of discovery's list for backend {@code b<i>}. */
     String entry(int i, String status) {
         return entry("b" + i, backends.get(i).address(), status);
     }
@@ -73,6 +78,7 @@
                 + String.join(",", entries) + "]}";
     }
 
+    /** Returns a full list that has every backend in service. */
     String all(int index) {
         String[] entries = new String[backends.size()];
         for (int i = 0; i < entries.length; i++) {
@@ -106,7 +112,7 @@
                 others.stream().map(Peer::address).toList()) + "\"]";
     }
 
-    /** Lets discovery answer by itself, each call at once with this list until the next one. */
+    /** Makes discovery answer each call at once with the given list, until another list is given. */
     void list(String text) {
         list = text;
         if (lists == null) {
@@ -131,7 +137,7 @@
         }
     }
 
-    /** Makes one of the operators' calls and returns the status. */
+    /** Makes one call to the admin endpoint and returns the status. */
     static int call(int admin, String method, String path, String body) throws IOException {
         try (Socket socket = new Socket(InetAddress.getByName(HOST), admin)) {
             socket.setSoTimeout((int) Peer.LIMIT_S * 1000);
@@ -140,13 +146,13 @@
                     + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body);
             int status = client.status();
             if (client.in().read() >= 0) {
-                throw new AssertionError("more than one answer");
+                throw new AssertionError("the admin endpoint sent more than one answer");
             }
             return status;
         }
     }
 
-    /** Makes a call as soon as somebody listens. */
+    /** Repeats a call to the admin endpoint until it accepts the connection, and returns the status. */
     static int awaitCall(int admin, String method, String path) throws Exception {
         long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
         while (true) {
@@ -161,7 +167,7 @@
         }
     }
 
-    /** Ends the proxy, but neither backends nor discovery. */
+    /** Stops the proxy, but neither the backends nor discovery. */
     void stop() {
         Main ending = main;
         main = null;
@@ -169,7 +175,7 @@
         ending.close();
     }
 
-    /** Whatever a test did, no client may still wait for an answer past its deadline. */
+    /** Checks that no client waits for an answer past its deadline and that no invariant was violated. */
     private static void assertNoneOverdue(Main proxy) {
         if (proxy.loop().isShuttingDown()) {
             return;
@@ -183,7 +189,10 @@
         }
     }
 
-    /** Tells the proxy to end, as SIGTERM does; done once it has finished what it took. */
+    /**
+     * Makes the proxy shut down gracefully, as SIGTERM does, and waits until it drains. The future completes
+     * once the proxy has finished its pending requests.
+     */
     CompletableFuture<Void> end() throws Exception {
         Main ending = main;
         CompletableFuture<Void> ended = CompletableFuture.runAsync(ending::finish);
@@ -195,7 +204,7 @@
         return ended;
     }
 
-    /** Waits until nobody can connect any more, which is some time after the proxy was told to end. */
+    /** Waits until the proxy's listener is closed, some time after the shutdown began. */
     void awaitListenerClosed() throws Exception {
         while (true) {
             try {
@@ -207,7 +216,7 @@
         }
     }
 
-    /** Starts the proxy, knowing all backends. */
+    /** Starts the proxy with all backends configured as known. */
     Bench start(Path folder) throws Exception {
         return start(folder, all(1));
     }
@@ -218,7 +227,7 @@
         return this;
     }
 
-    /** Starts the proxy and tells it to end before it has warmed up. */
+    /** Starts the proxy and begins its shutdown before its warm-up is complete. */
     CompletableFuture<Void> startAndEnd(Path folder) throws Exception {
         begin(folder, all(1));
         return CompletableFuture.runAsync(main::finish);
@@ -234,7 +243,7 @@
         return port;
     }
 
-    /** Holds the proxy's loop while the step runs, so that all of it is there in the next turn. */
+    /** Blocks the proxy's event loop while the step runs; the next iteration then finds all its effects. */
     void inOneTurn(Step step) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch over = new CountDownLatch(1);
@@ -251,14 +260,14 @@
     }
 
     /**
-     * Holds the proxy's loop until timers are due that would have run by then. They run right behind the
-     * step, before anything is read that came during it.
+     * Blocks the proxy's event loop until all timers that are due within {@code ms} have expired, and while
+     * the step runs. Those timers run right after the step, before the loop reads what arrived during it.
      */
     void beforeTimersDueIn(long ms, Step step) throws Exception {
         CountDownLatch reached = new CountDownLatch(1);
         CountDownLatch over = new CountDownLatch(1);
         main.loop().execute(() -> {
-            // Due before those timers, so it comes before them in the turn in which all are.
+            // Due before those timers, so it runs before them in the iteration in which all are due.
             main.loop().schedule(() -> {
                 reached.countDown();
                 awaitQuietly(over);
@@ -285,12 +294,12 @@
         }
     }
 
-    /** Returns once the proxy has looked at all its sockets anew, also at those that it has closed. */
+    /** Waits until the proxy's event loop has polled all its sockets again and handled closed ones. */
     void awaitTurn() throws Exception {
         main.loop().schedule(() -> { }, 1, TimeUnit.MILLISECONDS).get();
     }
 
-    /** Serves requests until one comes on a connection that is there already. */
+    /** Serves requests until the proxy reuses a connection to the backend, so that an idle one is pooled. */
     void connectBackend(int backend) throws Exception {
         for (int known = -1; known != backends.get(backend).connections();) {
             known = backends.get(backend).connections();
@@ -298,64 +307,65 @@
         }
     }
 
-    /** Whether the proxy holds a request, its answer or an attempt of it. */
+    /** Returns whether the proxy has a request whose answer or attempts are not complete. */
     boolean holdsRequests() throws Exception {
         return main.loop().submit(main::held).get().requests();
     }
 
-    /** Returns once the proxy has read all that came to it before, and acted on it. */
+    /** Waits until the proxy has read and handled all input that arrived before this call. */
     void settle() throws IOException {
         if (client().send("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n").status() != 200) {
-            throw new AssertionError("the proxy does not live");
+            throw new AssertionError("the proxy's liveness check did not answer 200");
         }
     }
 
-    /** Waits until a connection to the backend has come up. */
+    /** Waits until the backend has accepted a connection. */
     void awaitBackendConnection(int backend) throws InterruptedException {
         long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
         while (backends.get(backend).connections() == 0) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("no connection came up");
+                throw new AssertionError("the backend accepted no connection");
             }
             Thread.sleep(1);
         }
     }
 
-    /** Waits until nothing is held for a client that left. */
+    /** Waits until the proxy has released everything of the one client that disconnected. */
     void awaitOneGone() throws Exception {
         awaitGone(1);
     }
 
     /**
-     * Waits until nothing is held for those clients that left: all others of this bench ask nothing, and may
-     * be closed as strangers.
+     * Waits until the proxy has released everything of the clients that disconnected, {@code left} in number.
+     * This bench's other clients must have no pending request; the proxy may close them as unproven.
      */
     void awaitGone(int left) throws Exception {
         long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
         Main.Held now = main.loop().submit(main::held).get();
         while (now.requests() || now.bodyBytes() > 0 || now.connections() > clients.size() - left) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("still held: " + now + " with " + clients.size() + " clients");
+                throw new AssertionError("the proxy still holds " + now + "; clients: " + clients.size());
             }
             now = main.loop().submit(main::held).get();
         }
     }
 
-    /** Something that a test does. */
+    /** An action of a test that may throw. */
     interface Step {
         void run() throws Exception;
     }
 
-    /** Lets this bench's clients connect to a proxy that runs elsewhere. */
+    /** Makes this bench's clients connect to a proxy of another process, at this port. */
     void at(int listen) {
         port = listen;
     }
 
+    /** Opens a client's connection to the proxy. */
     Client client() throws IOException {
         return connect(new Socket());
     }
 
-    /** A client whose system holds little that it has not read: the rest stays with the proxy. */
+    /** Opens a client's connection with a small receive buffer: unread bytes soon back up into the proxy. */
     Client slowReader() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(1 << 12);
@@ -370,7 +380,7 @@
         return new Client(socket, new BufferedInputStream(socket.getInputStream()));
     }
 
-    /** The number of the backend to which a request has come that is not taken yet. */
+    /** Waits until a backend has received a request that the test has not taken yet; returns its number. */
     int awaitBackend() throws InterruptedException {
         long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
         while (System.nanoTime() < until) {
@@ -381,16 +391,16 @@
             }
             Thread.sleep(1);
         }
-        throw new AssertionError("no request came to any backend");
+        throw new AssertionError("no backend received a request");
     }
 
-    /** The number of the backend that serves one request, which must be served. */
+    /** Sends one request, which must be served, and returns the number of the backend that served it. */
     int served() throws IOException, InterruptedException {
         Client client = client().look("r");
         int backend = awaitBackend();
         backends.get(backend).next().reply(200, "");
         if (client.status() != 200) {
-            throw new AssertionError("a request was not served");
+            throw new AssertionError("the client of a served request did not get status 200");
         }
         return backend;
     }
@@ -418,6 +428,7 @@
             return this;
         }
 
+        /** Sends a request of class {@code look}, which is safe to repeat. */
         Client look(String id) throws IOException {
             return look(id, 20_000);
         }
@@ -427,17 +438,19 @@
                     + "\r\nX-Call-Class: look\r\nX-Budget-Ms: " + budgetMs + "\r\n\r\n");
         }
 
+        /** Sends a POST request of the named class. */
         Client post(String name, String id, String body, String... headers) throws IOException {
             return send("POST /" + name + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Call-Class: "
                     + name + "\r\nX-Budget-Ms: 20000\r\n" + String.join("", headers) + "Content-Length: "
                     + body.length() + "\r\n\r\n" + body);
         }
 
-        /** The next answer; null where the proxy has closed the connection. */
+        /** Reads the next answer; returns null where the proxy has closed the connection. */
         Peer.Message answer() throws IOException {
             return Peer.Message.read(in, socket, new CountDownLatch(1));
         }
 
+        /** Reads the next answer and returns its status. */
         int status() throws IOException {
             return Integer.parseInt(answer().line().split(" ")[1]);
         }
--- a/src/test/java/larkworks/proxy/ClientLeavingTest.java
+++ b/src/test/java/larkworks/proxy/ClientLeavingTest.java
@@ -20,33 +20,33 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No attempt begins once its client has left, also where that lies unread; see docs/crossings.md. */
+/** No attempt begins once its client has disconnected, even if the proxy has not read the disconnect yet. */
 @Timeout(120)
 class ClientLeavingTest {
 
     private static final String NOBODY = Bench.list(1, true);
-    /** The loop is held for so long: past the first turn of a server that joins, an aim of 2 s at most. */
+    /** Blocks the event loop until a new server has got its first request, after one aim (2 s) at most. */
     private static final int BEHIND_MS = 2_600;
 
     @TempDir
     Path folder;
 
-    /** What a client sends to be told apart from what the test's others send. */
+    /** Returns a request of class {@code look} with the given id. */
     private static String look(String id) {
         return "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id
                 + "\r\nX-Call-Class: look\r\nX-Budget-Ms: 20000\r\n\r\n";
     }
 
-    /** Whichever backends the next requests go to, none of them has had another. */
+    /** Checks that the next request is served and that no backend has received any other one. */
     private static void assertOthersAlone(Bench bench) throws Exception {
         bench.awaitGone(1);
         bench.served();
         for (Peer backend : bench.backends) {
-            assertEquals(0, backend.waiting(), "sent on for a client that had left");
+            assertEquals(0, backend.waiting(), "a request was sent for a client that had disconnected");
         }
     }
 
-    // ---- leaving while the loop is behind: the timer that would send runs before the leaving is read
+    // ---- disconnects while the loop is blocked: the sending timer runs before the disconnect is read
 
     @ParameterizedTest
     @EnumSource(Leaving.class)
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The one before it is answered as its time ends, with the leaving unread. */
+    /** The request before it is answered at its deadline, while the disconnect is unread. */
     @ParameterizedTest
     @EnumSource(Leaving.class)
     void aRequestBehindAnotherIsNotSentOn(Leaving way) throws Exception {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** The answer, by which it would go to the other server, is read together with the leaving. */
+    /** The rejection that would cause a retry at the other server is read together with the disconnect. */
     @ParameterizedTest
     @EnumSource(Leaving.class)
     void aRequestThatIsTurnedAwayIsNotSentToAnother(Leaving way) throws Exception {
@@ -121,11 +121,11 @@
                 way.leave(client);
             });
             bench.awaitGone(1);
-            assertTrue(bench.backends.get(0).next().body().length < size, "its last byte was sent on");
+            assertTrue(bench.backends.get(0).next().body().length < size, "the body's last byte was sent");
         }
     }
 
-    /** It has come whole, and its backend takes it slowly. */
+    /** The proxy has received the body whole, and the backend reads it slowly. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aBodyOnItsWayIsNotFinished(boolean cancel) throws Exception {
@@ -144,7 +144,7 @@
                 assertEquals('P', slow.getInputStream().read());
                 client.socket().close();
                 bench.awaitGone(1);
-                assertTrue(readToEnd(slow) < size, "its last byte was sent on");
+                assertTrue(readToEnd(slow) < size, "the body's last byte was sent");
             }
         }
     }
@@ -158,12 +158,12 @@
                 all += read;
             }
         } catch (IOException e) {
-            // A reset ends it as well.
+            // A reset ends the stream as well.
         }
         return all;
     }
 
-    // ---- many at once
+    // ---- many clients at once
 
     @ParameterizedTest
     @EnumSource(Leaving.class)
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Some with a request, some with half of one, some with none. */
+    /** A third of the connections sends a request, a third half of one, and a third nothing. */
     @Test
     void connectionsKilledRightAfterTheirAcceptLeaveNothingBehind() throws Exception {
         int crowd = 60;
@@ -207,9 +207,9 @@
         }
     }
 
-    // ---- requests in pieces
+    // ---- fragmented requests
 
-    /** In bytes, and in lines. */
+    /** The fragments are single bytes in the first run, and lines in the second. */
     @ParameterizedTest
     @ValueSource(strings = {"", "(?<=\n)"})
     void requestsInPiecesAreServedInTheirOrder(String between) throws Exception {
--- a/src/test/java/larkworks/proxy/ConnectionClosingTest.java
+++ b/src/test/java/larkworks/proxy/ConnectionClosingTest.java
@@ -17,21 +17,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Clients' connections that the proxy closes; see docs/crossings.md. */
+/** Client connections that the proxy closes: no byte of an answer may be lost, no unread request dropped. */
 @Timeout(120)
 class ConnectionClosingTest {
 
-    /** What neither a client's small receive buffer holds, nor is too large to be held whole. */
+    /** Size of an answer that exceeds a client's small receive buffer, but that the proxy buffers whole. */
     private static final int HELD = 40_000;
-    /** What is passed on as it comes. */
+    /** Size of an answer that the proxy streams instead of buffering it. */
     private static final int LARGE = 66_000;
-    /** For so long the loop is held until a stranger's or a request's time is over. */
+    /** Blocks the event loop past an unproven connection's request timeout and a request's deadline. */
     private static final int BEHIND_MS = 2_600;
 
     @TempDir
     Path folder;
 
-    /** Why a connection closes after an answer. */
+    /** The reasons for which a connection closes after an answer. */
     enum Reason {
         DRAIN, ASKED, OLD_CLIENT;
 
@@ -49,13 +49,13 @@
     }
 
     private static void assertEndsAndSentNothing(Bench bench, Bench.Client client) throws IOException {
-        assertNull(client.answer(), "the connection ends in order");
-        assertEquals(0, bench.backends.get(0).waiting(), "what came behind the last answer went on");
+        assertNull(client.answer(), "the connection was not closed in order");
+        assertEquals(0, bench.backends.get(0).waiting(), "a request behind the last answer was sent on");
     }
 
-    // ---- bytes that are on their way when the last answer goes out
+    // ---- unread bytes in the proxy's socket when the last answer is written
 
-    /** Of the answer before the last the system still holds most when the connection closes. */
+    /** When the connection closes, most of the last but one answer is still in the kernel's send buffer. */
     @ParameterizedTest
     @EnumSource(Reason.class)
     void allAnswersArriveThoughTheNextRequestIsOnItsWay(Reason why) throws Exception {
@@ -65,7 +65,7 @@
             bench.backends.get(0).next().reply(200, "x".repeat(HELD));
             assertEquals("last", bench.backends.get(0).next().header("X-Call-Id"));
             why.come(bench);
-            // The last answer is given as its time ends, with the next request unread.
+            // The last request is answered at its deadline, while the next request is unread.
             bench.beforeTimersDueIn(BEHIND_MS, () -> client.look("next"));
             bench.awaitTurn();
             assertEquals("x".repeat(HELD), client.answer().text());
@@ -78,7 +78,7 @@
     @EnumSource(Reason.class)
     void aLargeLastAnswerArrivesWholeThoughTheNextRequestIsOnItsWay(Reason why) throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
-            // The older connection is read first where both have something.
+            // If both connections are readable the older one is read first: the backend's must be older.
             bench.connectBackend(0);
             Bench.Client client = bench.slowReader().send(why.request("GET /look", "last", 20_000));
             Peer.Message sent = bench.backends.get(0).next();
@@ -114,9 +114,9 @@
         }
     }
 
-    // ---- connections that nothing was asked on for a while
+    // ---- connections without a request for a while
 
-    /** More answers than the system takes: the rest waits in the proxy while nothing further is asked. */
+    /** The answers exceed the kernel's send buffer; the proxy keeps the rest while no request follows. */
     @Test
     void answersStillGoingOutAreFinishedBeforeTheirConnectionCountsAsUnused() throws Exception {
         int answers = 200;
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Clients that come at once send their requests with their connections. */
+    /** All clients connect at once and send their requests before the proxy accepts their connections. */
     @Test
     void noRequestThatLiesUnreadIsClosedToMakeRoomForOthers() throws Exception {
         try (Bench bench = new Bench(1)) {
--- a/src/test/java/larkworks/proxy/CrossingTest.java
+++ b/src/test/java/larkworks/proxy/CrossingTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Events that cross; each test forces one crossing of those in docs/crossings.md. */
+/** Race conditions between clients, backends, discovery and timers; each test forces one order of events. */
 @Timeout(120)
 class CrossingTest {
 
     @TempDir
     Path folder;
 
-    /** The ways in which a client leaves. */
+    /** The ways in which a client disconnects. */
     enum Leaving {
         FIN, RESET, HALF_CLOSE;
 
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Nothing must be held any more for the client that left, and a request of another one must be the next
-     * that any backend gets.
+     * Checks that the proxy has released everything of the client that disconnected, and that the backend's
+     * next request is one of another client.
      */
     static void assertNextIsAnother(Bench bench, int backend) throws Exception {
         bench.awaitOneGone();
@@ -61,7 +61,7 @@
         assertEquals(0, bench.backends.get(backend).waiting());
     }
 
-    /** Lets connections come up; the first request on the first that was kept waiting must be that one. */
+    /** Lets the blocked connects complete and checks that the first one carries the request with this id. */
     private static void assertServesFirst(Hanging backend, String id, Bench.Client client)
             throws Exception {
         try (Socket came = backend.accept()) {
@@ -73,7 +73,7 @@
         }
     }
 
-    // ---- clients that leave while their request waits
+    // ---- clients that disconnect while their request is pending
 
     @ParameterizedTest
     @EnumSource(Leaving.class)
@@ -117,7 +117,8 @@
             bench.discovery.next().reply(200, bench.all(2));
             bench.discovery.next();
             assertNextIsAnother(bench, 0);
-            assertEquals(1, bench.backends.get(0).connections(), "none for the one that left");
+            assertEquals(1, bench.backends.get(0).connections(),
+                    "a connection was opened for the client that disconnected");
         }
     }
 
@@ -143,7 +144,7 @@
             Peer.Message sent = bench.backends.get(0).next();
             client.send(look("b").repeat(2_000));
             way.leave(client);
-            // Only who goes on reading sees it.
+            // The proxy notices the disconnect only if it continues reading behind the pipelined requests.
             sent.awaitEnd();
             assertNextIsAnother(bench, 0);
         }
@@ -153,7 +154,7 @@
     @EnumSource(Leaving.class)
     void aRequestThatCameTogetherWithItsClientsLeavingIsNotSentOn(Leaving way) throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
-            // As from the listener's queue, in which both wait while descriptors run short.
+            // As from the listener's accept queue, where both wait while descriptors are scarce.
             bench.inOneTurn(() -> way.leave(bench.client().look("gone")));
             assertNextIsAnother(bench, 0);
         }
@@ -166,7 +167,7 @@
             Bench.Client client = bench.client().look("a").look("b");
             Peer.Message sent = bench.backends.get(0).next();
             bench.inOneTurn(() -> {
-                // The answer to the first is read, and the leaving in the same turn.
+                // The proxy reads the first request's answer and the disconnect in the same loop iteration.
                 sent.reply(200, "");
                 way.leave(client);
             });
@@ -204,7 +205,7 @@
 
     // ---- drains
 
-    /** Whoever is sent on again is not sent where a drain's grace is over. */
+    /** A retry must not go to a server whose drain has passed its grace period. */
     @Test
     void aRequestThatIsRetriedGoesToNoServerThatDrains() throws Exception {
         try (Bench bench = new Bench(2)) {
@@ -242,7 +243,7 @@
         }
     }
 
-    /** One whose length is not told is passed on as it comes, and ends with its client's patience. */
+    /** An answer of unknown length is streamed as it arrives; it ends when its client disconnects. */
     @ParameterizedTest
     @ValueSource(strings = {"\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"})
     void anAnswerThatIsPassedOnAndNeverEndsIsEndedAsItsClientLeaves(String came) throws Exception {
@@ -257,7 +258,7 @@
         }
     }
 
-    // ---- a timer and a client's leaving
+    // ---- a timer and a client's disconnect
 
     @ParameterizedTest
     @EnumSource(Leaving.class)
@@ -265,7 +266,7 @@
         try (Bench bench = new Bench(1).start(folder, NOBODY)) {
             Bench.Client client = bench.client().look("gone");
             bench.settle();
-            // A server that joins has its first turn after up to an aim, 2 s; the request waits for that.
+            // A new server gets its first request after at most one aim (2 s); the request waits until then.
             bench.discovery.next().reply(200, bench.all(2));
             bench.discovery.next();
             bench.inOneTurn(() -> {
@@ -276,7 +277,7 @@
         }
     }
 
-    // ---- an answer and the end of its time
+    // ---- an answer and its deadline
 
     @Test
     void anAnswerThatComesAsItsTimeEndsIsGivenOnceOrNotAtAll() throws Exception {
@@ -294,7 +295,7 @@
         }
     }
 
-    // ---- requests behind one another on a connection
+    // ---- pipelined requests
 
     @Test
     void aRequestThatComesWithTheAnswerToTheFirstWaitsForTheSecond() throws Exception {
--- a/src/test/java/larkworks/proxy/CrowdTest.java
+++ b/src/test/java/larkworks/proxy/CrowdTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Descriptors where they run short. */
+/** The proxy with fewer file descriptors or less body memory than its clients ask for. */
 @Timeout(120)
 class CrowdTest {
 
@@ -39,7 +39,7 @@
                         Thread.sleep(2);
                     }
                 } catch (Exception e) {
-                    // Closed under its hands, as strangers may be.
+                    // The proxy closed the connection during the write, as it may with unproven connections.
                     Thread.currentThread().interrupt();
                 }
             });
@@ -64,7 +64,10 @@
         }
     }
 
-    /** The longest silent go, or the newest are turned away; a body that stops may else stay for seconds. */
+    /**
+     * The proxy closes the connections that are silent for longest, or rejects the newest. Otherwise an
+     * incomplete body stays buffered until its timeout, which is seconds.
+     */
     @Test
     void holdsNoMoreOfBodiesThanTheirCommonBound() throws Exception {
         try (Bench bench = new Bench(1)) {
@@ -79,7 +82,7 @@
                 try {
                     stranger.send(String.format(half, i));
                 } catch (SocketException e) {
-                    // Turned away before it had sent all.
+                    // The proxy rejected the connection before the whole request was sent.
                 }
             }
             long until = System.nanoTime() + 1_000_000_000L;
@@ -91,10 +94,10 @@
                 } catch (SocketTimeoutException e) {
                     left++;
                 } catch (SocketException e) {
-                    // Closed with its bytes unread.
+                    // The proxy closed the connection without reading all its bytes.
                 }
             }
-            assertTrue(left * 60_000 <= 8 << 20, "bodies held: " + left);
+            assertTrue(left * 60_000 <= 8 << 20, "connections with a buffered body: " + left);
             Bench.Client client = bench.client().look("r");
             bench.backends.get(0).next().reply(200, "");
             assertEquals(200, client.status());
@@ -118,7 +121,7 @@
             idle.add(idle.size());
         }
         sockets.share(true);
-        assertTrue(idle.size() <= 52, "half of the limit less the reserve: " + idle.size());
+        assertTrue(idle.size() <= 52, "open sockets exceed half the limit less the reserve: " + idle.size());
         sockets.share(false);
         int before = idle.size();
         assertTrue(sockets.accepted());
--- a/src/test/java/larkworks/proxy/EndingTest.java
+++ b/src/test/java/larkworks/proxy/EndingTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy told to end while it holds requests in every state; see docs/crossings.md. */
+/** Graceful shutdown of a proxy that has requests in different states. */
 @Timeout(120)
 class EndingTest {
 
@@ -32,7 +32,7 @@
             bench.settle();
             CompletableFuture<Void> ended = bench.end();
             bench.awaitListenerClosed();
-            assertFalse(ended.isDone(), "a request is held");
+            assertFalse(ended.isDone(), "the proxy ended with a pending request");
             bench.discovery.next().reply(200, bench.all(2));
             bench.backends.get(0).next().reply(200, "late but served");
             Peer.Message answer = client.answer();
@@ -51,7 +51,7 @@
             bench.settle();
             CompletableFuture<Void> ended = bench.end();
             bench.awaitListenerClosed();
-            assertFalse(ended.isDone(), "a request waits for another attempt");
+            assertFalse(ended.isDone(), "the proxy ended with a request that waits for another attempt");
             bench.discovery.next().reply(200, Bench.list(2, true, bench.entry(1, "in_service")));
             bench.backends.get(1).next().reply(200, "by the other");
             assertEquals("by the other", client.answer().text());
@@ -68,7 +68,7 @@
             sent.raw("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + half);
             CompletableFuture<Void> ended = bench.end();
             bench.awaitListenerClosed();
-            assertFalse(ended.isDone(), "half of an answer is still to come");
+            assertFalse(ended.isDone(), "the proxy ended with half of an answer outstanding");
             sent.raw(half);
             assertEquals(half + half, client.answer().text());
             awaitEnd(ended);
@@ -92,12 +92,12 @@
                     client.look(Integer.toString(served));
                 }
             } while (answer.header("Connection") == null);
-            assertNull(client.answer(), "told to close, and closed");
+            assertNull(client.answer(), "the connection was announced to close, but stays open");
             awaitEnd(ended);
         }
     }
 
-    /** More than are taken in one turn wait in the listener's queue when it closes. */
+    /** More connections than one loop iteration accepts are in the accept queue when the listener closes. */
     @Test
     void servesWhatWaitsInTheListenersQueueWhenItCloses() throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
@@ -108,7 +108,7 @@
                 for (int i = 0; i < 60; i++) {
                     clients.add(bench.client().look(Integer.toString(i)));
                 }
-                // The listener's time is over when the loop goes on, and it closes in that same turn.
+                // When the loop resumes, the listener's closing time has passed: it closes in that iteration.
                 Thread.sleep(1_000);
             });
             for (int i = 0; i < clients.size(); i++) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Behind the warm-up's beginning in the loop's queue, and before its end. */
+    /** The shutdown is queued in the event loop behind the warm-up's beginning, and before its end. */
     @Test
     void endsWhereItIsToldToDuringItsWarmUp() throws Exception {
         try (Bench bench = new Bench(1)) {
--- a/src/test/java/larkworks/proxy/Hanging.java
+++ b/src/test/java/larkworks/proxy/Hanging.java
@@ -8,13 +8,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A backend to which connections come up only once the test lets them: its queue is full until then. */
+/** A backend whose accept queue is full, so that connecting to it blocks until the test calls accept. */
 final class Hanging implements AutoCloseable {
 
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
     private final List<Socket> fillers = new ArrayList<>();
 
-    /** With its queue full the system drops new connections, and who connects tries again after a second. */
+    /** Fills the accept queue: the kernel then drops new SYNs, and the peer repeats them after 1 s. */
     Hanging() throws IOException {
         listener.setSoTimeout((int) Peer.LIMIT_S * 1000);
         for (int i = 0; i < 2; i++) {
@@ -26,7 +26,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Lets connections come up; returns the first that was kept waiting. */
+    /** Empties the accept queue and returns the first connection that was blocked by it. */
     Socket accept() throws IOException {
         while (!fillers.isEmpty()) {
             listener.accept().close();
@@ -35,7 +35,7 @@
         return listener.accept();
     }
 
-    /** Whether nothing has come on the connection so far. */
+    /** Returns whether no byte has been received on the connection. */
     static boolean silent(Socket socket) throws IOException {
         socket.setSoTimeout(1);
         try {
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -31,12 +31,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies too large to be held, and the forms in which HTTP/1.1 lets bodies come. */
+/** Bodies too large to be buffered, and the framings of bodies that HTTP/1.1 allows. */
 @Timeout(120)
 class LargeBodyTest {
 
     private static final int LARGE = 32_000_000;
-    /** More than this never fits between a writer and a reader that stands still, kernel buffers included. */
+    /** More bytes than fit into all buffers between a writer and a stalled reader, including the kernel's. */
     private static final int STANDSTILL = 24_000_000;
 
     @TempDir
@@ -65,7 +65,7 @@
         bench.close();
     }
 
-    /** A connection in the test's hands, by the byte. */
+    /** A client's or backend's connection on which the test reads and writes single bytes. */
     private final class Line {
         final Socket socket;
         final InputStream in;
@@ -86,26 +86,27 @@
             return this;
         }
 
-        /** A head, up to its blank line. */
+        /** Reads a message's head, including the blank line. */
         String head() throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 int next = in.read();
                 if (next < 0) {
-                    throw new IOException("ended in the head: " + head);
+                    throw new IOException("the connection ended within the head: " + head);
                 }
                 head.append((char) next);
             }
             return head.toString();
         }
 
+        /** Reads exactly this many bytes. */
         byte[] bytes(int count) throws IOException {
             byte[] bytes = in.readNBytes(count);
-            assertEquals(count, bytes.length, "the connection ended");
+            assertEquals(count, bytes.length, "the connection ended too early");
             return bytes;
         }
 
-        /** A body in chunks, with its last one. */
+        /** Reads a chunked body up to and including its last chunk, and returns the content. */
         byte[] chunks() throws IOException {
             ByteArrayOutputStream all = new ByteArrayOutputStream();
             while (true) {
@@ -124,18 +125,18 @@
             while (line.indexOf("\r\n") < 0) {
                 int next = in.read();
                 if (next < 0) {
-                    throw new IOException("ended in a line: " + line);
+                    throw new IOException("the connection ended within a line: " + line);
                 }
                 line.append((char) next);
             }
             return line.substring(0, line.length() - 2);
         }
 
-        /** Whether the other side ends the connection, however. */
+        /** Reads until the other side ends the connection, by FIN or reset; then returns true. */
         boolean ends() throws IOException {
             try {
                 while (in.read() >= 0) {
-                    // What is still to come.
+                    // Skip remaining bytes.
                 }
             } catch (SocketException reset) {
                 return true;
@@ -152,7 +153,7 @@
         return new Line(backend.accept());
     }
 
-    /** Has the backend answer and the client be served. */
+    /** Sends an empty answer from the backend and checks that the client receives it. */
     private static void assertServed(Line server, Line client) throws IOException {
         server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         assertTrue(client.head().startsWith("HTTP/1.1 200 "));
@@ -168,7 +169,7 @@
                 + "X-Budget-Ms: 20000\r\n" + String.join("", headers) + "\r\n";
     }
 
-    /** Writes all of the body on another thread and counts what is gone. */
+    /** Writes the whole body on another thread and counts the bytes written. */
     private CompletableFuture<Void> write(Line to, AtomicLong gone) {
         return CompletableFuture.runAsync(() -> {
             try {
@@ -182,7 +183,7 @@
         });
     }
 
-    /** Waits until a writer gets no further, and tells how far it got. */
+    /** Waits until the writer stalls, and returns how many bytes it has written. */
     private static long standstill(AtomicLong gone) throws InterruptedException {
         long last = -1;
         while (last != gone.get()) {
@@ -212,7 +213,7 @@
         server.head();
         server.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         client.head();
-        assertEquals("ok", new String(client.bytes(2)), "both connections go on");
+        assertEquals("ok", new String(client.bytes(2)), "a connection was not reused");
     }
 
     @Test
@@ -259,7 +260,7 @@
         }
         standstill(gone);
         long held = io.netty.util.internal.PlatformDependent.usedDirectMemory() - before;
-        assertTrue(held < 12 << 20, "bytes held outside the heap: " + held);
+        assertTrue(held < 12 << 20, "bytes buffered outside the heap: " + held);
         for (Line client : clients) {
             client.head();
             assertArrayEquals(Arrays.copyOf(body, LARGE / 4), client.chunks());
@@ -326,7 +327,10 @@
         }
     }
 
-    /** The writing of the body meets the reset before the reading of the answer does. */
+    /**
+     * The reset fails the body's write before the answer's read. An answer that ends with its connection
+     * must not look complete then.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1_000, 100_000})
     void aResetUnderTheBodyEndsNoAnswerWithoutALength(int came) throws Exception {
@@ -337,7 +341,7 @@
         standstill(gone);
         server.head();
         server.send("HTTP/1.1 200 OK\r\n\r\n").send(body, 0, came);
-        // A large one is being passed on by then; a small one is held, unless the machine is slow.
+        // A large answer is being streamed by now; a small one is still buffered, unless the machine is slow.
         String head = came > BackendPool.MOST_BODY ? client.head() : "";
         bench.settle();
         server.socket.setSoLinger(true, 0);
@@ -347,7 +351,7 @@
             assertTrue(head.contains("chunked"), head);
             assertThrows(IOException.class, client::chunks);
         } else {
-            assertTrue(head.startsWith("HTTP/1.1 503 "), "its last byte never left: " + head);
+            assertTrue(head.startsWith("HTTP/1.1 503 "), "the request's last byte was never sent: " + head);
         }
     }
 
@@ -417,7 +421,7 @@
         server.bytes(150_000);
         server.socket.close();
         String head = client.head();
-        assertTrue(head.startsWith("HTTP/1.1 503 "), "it never ran: " + head);
+        assertTrue(head.startsWith("HTTP/1.1 503 "), "the request never ran, so 503 is expected: " + head);
         assertTrue(head.toLowerCase().contains("connection: close"), head);
         backend.setSoTimeout(300);
         assertThrows(java.net.SocketTimeoutException.class, backend::accept);
@@ -474,7 +478,7 @@
         Line client = client().send(post("r", headers) + "abc0\r\n\r\n" + get("smuggled"));
         String head = client.head();
         assertTrue(head.startsWith("HTTP/1.1 400 "), head);
-        assertTrue(client.ends(), "nothing behind it is read as a request");
+        assertTrue(client.ends(), "bytes behind the bad head must not be read as a request");
         backend.setSoTimeout(100);
         assertThrows(java.net.SocketTimeoutException.class, backend::accept);
     }
@@ -494,11 +498,12 @@
         server.head();
         long from = System.nanoTime();
         assertTrue(client.ends());
-        assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(8), "100 kB are worth two seconds");
+        assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(8),
+                "100 kB extend the body's timeout by two seconds only");
         assertTrue(server.ends());
     }
 
-    /** The answer has begun when it is cut off for the body that stops. */
+    /** The answer is being streamed when the proxy aborts it because the request's body stalls. */
     @Test
     void anAnswerThatEndsWithItsConnectionDoesNotLookWholeWhereItIsCutOff() throws Exception {
         Line client = client().send(post("r", "Content-Length: 200000\r\n")
--- a/src/test/java/larkworks/proxy/Peer.java
+++ b/src/test/java/larkworks/proxy/Peer.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A backend or discovery in a test's hands: it shows what came and answers only as the test says. */
+/** A stub backend or discovery: it queues the requests that it receives, and the test answers them. */
 final class Peer implements AutoCloseable {
 
     static final long LIMIT_S = 30;
@@ -46,19 +46,21 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** The next message that came. */
+    /** Waits for the next message that the test has not taken yet, and returns it. */
     Message next() throws InterruptedException {
         Message message = received.poll(LIMIT_S, TimeUnit.SECONDS);
         if (message == null) {
-            throw new AssertionError("no message came");
+            throw new AssertionError("no message was received within " + LIMIT_S + " s");
         }
         return message;
     }
 
+    /** Returns how many messages were received that the test has not taken yet. */
     int waiting() {
         return received.size();
     }
 
+    /** Returns how many connections were accepted so far, including closed ones. */
     int connections() {
         return sockets.size();
     }
@@ -77,7 +79,7 @@
         }
     }
 
-    /** Until the accepting thread has left its call, the port still takes connections, closed or not. */
+    /** Waits for the accepting thread too: until its accept call returns, the port takes connections. */
     @Override
     public void close() throws IOException {
         listener.close();
@@ -85,14 +87,14 @@
             accepting.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new InterruptedIOException("closed, but maybe still accepting");
+            throw new InterruptedIOException("interrupted while waiting for the accepting thread to end");
         }
         for (Socket socket : List.copyOf(sockets)) {
             socket.close();
         }
     }
 
-    /** Something that ends with its socket. */
+    /** A task that ends when its socket is closed. */
     private interface Job {
         void run() throws IOException;
     }
@@ -110,11 +112,11 @@
         return thread;
     }
 
-    /** An HTTP message, a request or a response, with the connection that it came on. */
+    /** An HTTP request or response, with the connection on which it was received. */
     record Message(String line, Map<String, String> headers, byte[] body, Socket socket,
             CountDownLatch ended) {
 
-        /** Reads a message with a length; null at the end of the connection. */
+        /** Reads a message with a Content-Length or no body; returns null at the end of the connection. */
         static Message read(InputStream in, Socket socket, CountDownLatch ended) throws IOException {
             String line = line(in);
             if (line == null) {
@@ -149,7 +151,7 @@
             return new String(body, StandardCharsets.UTF_8);
         }
 
-        /** Answers; each header is a whole line. */
+        /** Sends a response; each header is a line without its line end. */
         void reply(int status, String text, String... headers) {
             StringBuilder message = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
             for (String header : headers) {
@@ -159,6 +161,7 @@
             raw(message.toString());
         }
 
+        /** Sends these characters as they are, without adding a head. */
         void raw(String bytes) {
             try {
                 socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
@@ -176,7 +179,7 @@
         /** Waits until the other side has closed the connection. */
         void awaitEnd() throws InterruptedException {
             if (!ended.await(LIMIT_S, TimeUnit.SECONDS)) {
-                throw new AssertionError("the connection stays open");
+                throw new AssertionError("the connection was not closed within " + LIMIT_S + " s");
             }
         }
     }
--- a/src/test/java/larkworks/proxy/PendingRequestsTest.java
+++ b/src/test/java/larkworks/proxy/PendingRequestsTest.java
@@ -24,11 +24,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each request that was taken ends, and once: when its answer has been written and no attempt is out. */
+/** Each accepted request completes exactly once: when its answer is written and none of its attempts runs. */
 @Timeout(120)
 class PendingRequestsTest {
 
-    /** Answers as they are given, and what is to be told once they are written. */
+    /** Records the answers that the driver gives, and the deliveries to notify once an answer is written. */
     private static final class Answers implements Driver.Client {
         private final List<String> given = new ArrayList<>();
         private final List<Driver.Delivery> writing = new ArrayList<>();
@@ -51,7 +51,7 @@
         @Override
         public BackendPool.Sink begins(BackendPool.Exchange from, String type, long length,
                 Driver.Delivery delivery) {
-            throw new AssertionError("no answer here is large");
+            throw new AssertionError("an answer was streamed, but these tests send only small ones");
         }
 
         @Override
@@ -98,7 +98,7 @@
         return loop.submit(step).get();
     }
 
-    /** Makes the one backend known, at an address that is null where no attempt can begin. */
+    /** Adds the only backend to the driver's list; with a null address no attempt to it can begin. */
     private void listBackend(InetSocketAddress address) throws Exception {
         onLoop(() -> {
             driver.listChanged(ListKind.WHOLE, List.of(new Listing.Entry(
@@ -128,7 +128,7 @@
         bench.backends.get(0).next().reply(200, "whole");
         awaitAnswer();
         assertEquals(List.of("served"), onLoop(() -> List.copyOf(answers.given)));
-        assertEquals(false, onLoop(driver::isIdle), "the answer is not written yet");
+        assertEquals(false, onLoop(driver::isIdle), "the request completed before its answer was written");
         onLoop(() -> {
             answers.writing.get(0).ended(true);
             return null;
@@ -146,7 +146,7 @@
             return null;
         });
         assertEquals(1, onLoop(answers.given::size));
-        assertTrue(onLoop(driver::isIdle), "the attempt that never began holds the request");
+        assertTrue(onLoop(driver::isIdle), "the request is still pending for an attempt that never began");
         assertEquals(0, onLoop(sockets::open), "a socket that was never opened is counted");
     }
 
@@ -162,7 +162,7 @@
             return null;
         });
         assertEquals(false, pending.isPastDeadline(pending.deadlineUs + 1),
-                "a client that has gone waits no more");
+                "a request whose client disconnected counts as past its deadline");
     }
 
     @Test
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The proxy between real sockets. */
+/** Tests of the whole proxy between real client and backend sockets. */
 @Timeout(120)
 class ProxyTest {
 
@@ -135,7 +135,7 @@
         }
     }
 
-    /** An unsafe request that may have run is failed, never sent again or refused. */
+    /** An unsafe request that the backend may have run must fail: it is neither repeated nor refused. */
     @ParameterizedTest
     @ValueSource(strings = {"500", "503", "504", "404", "302", "reset", "end", "cut", "nonsense", "large"})
     void failsAnUnsafeRequestThatMayHaveRun(String what) throws Exception {
@@ -158,7 +158,7 @@
         }
     }
 
-    /** One that is known not to have run goes to the other backend, and is refused when that fails too. */
+    /** An unsafe request that provably did not run goes to the other backend; if both fail it is refused. */
     @ParameterizedTest
     @ValueSource(ints = {503, 504})
     void sendsAnUnsafeRequestOnceMoreWhereItProvedNotToHaveRun(int status) throws Exception {
@@ -175,7 +175,10 @@
         }
     }
 
-    /** A request under a copied id: it was repeated, had its backends rested, and good ones were refused. */
+    /**
+     * Guards against a client that copies another request's id: its rejected request was repeated, its
+     * backends were ejected, and valid requests were then refused.
+     */
     @Test
     void failsWhatABackendCallsABadRequestAndHoldsItAgainstNobody() throws Exception {
         try (Bench bench = new Bench(2).start(folder)) {
@@ -213,7 +216,7 @@
         }
     }
 
-    /** At the deadline the client gets one failure; the late answer reaches nobody. */
+    /** At the deadline the client gets one failure; the backend's late answer is dropped. */
     @Test
     void failsARequestShortlyBeforeItsClientGivesUpAndOnlyOnce() throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
@@ -222,7 +225,7 @@
             client.look("slow", 600);
             Peer.Message slow = bench.backends.get(0).next();
             assertEquals(502, client.status());
-            assertTrue(System.nanoTime() - start > 300_000_000L, "failed long before its time was up");
+            assertTrue(System.nanoTime() - start > 300_000_000L, "failed long before its deadline");
             slow.awaitEnd();
             slow.raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
 
@@ -232,7 +235,10 @@
         }
     }
 
-    /** It is still known to the module then, which may find a server for it before its time is quite over. */
+    /**
+     * A request that the proxy answered shortly before its deadline is still pending in the decision module,
+     * which may assign a server to it. The proxy must not send it, and must report the server as free.
+     */
     @Test
     void aCallAnsweredShortlyBeforeItsEndIsNotSentAnyMore() throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
@@ -249,7 +255,7 @@
 
             client.look("next", 500);
             bench.backends.get(0).next().reply(200, "");
-            assertEquals(200, client.status(), "the server is idle, and known to be");
+            assertEquals(200, client.status(), "the decision module does not know that the server is idle");
         }
     }
 
@@ -264,7 +270,7 @@
         }
     }
 
-    /** The connect outlasts a drain's grace: the backend gets nothing new any more. */
+    /** The connect takes longer than the drain's grace period, so the backend must get no request. */
     @Test
     void sendsNothingToABackendThatBeganToDrainDuringTheConnect() throws Exception {
         try (Bench bench = new Bench(0); Hanging backend = new Hanging()) {
@@ -288,8 +294,8 @@
     }
 
     /**
-     * Where lists are pushed, a drain counts from when discovery is back, not from when the proxy asks again:
-     * its grace has run from the last time at which all was known.
+     * A drain during an outage of pushed discovery is notified late. Its grace period counts from the last
+     * time at which the list was up to date, not from when the proxy receives the new list.
      */
     @Test
     void sendsNothingToABackendWhoseDrainWasMissedForAsLongAsItsGrace() throws Exception {
@@ -304,8 +310,8 @@
             bench.settle();
             watch.reply(503, "");
             Peer.Message again = bench.discovery.next();
-            // That time passes is what the test is about: the grace from the failure on is over, one from
-            // the list on is not when the connection comes up, which the system tries after 1 s and 3 s.
+            // The kernel repeats the connect's SYN after 1 s and 3 s. At 3 s a grace period that counts from
+            // the failure is over; one that counts from the new list is not.
             Thread.sleep(2_500);
             again.reply(200, Bench.list(2, true, Bench.entry("b", backend.address(), "terminating")));
             bench.discovery.next();
@@ -316,7 +322,7 @@
         }
     }
 
-    /** A drain that counts as discovery returns must be heard of within its grace. */
+    /** A drain that begins as discovery recovers must be received within its grace period. */
     @Test
     void asksADiscoveryThatIsDownMoreOftenThanTheGraceOfDrainsLasts() throws Exception {
         try (Bench bench = new Bench(1)) {
@@ -330,7 +336,7 @@
                 call = bench.discovery.next();
                 pausesMs.add((System.nanoTime() - failedAt) / 1_000_000);
             }
-            // The pauses have stopped growing by the sixth; the machine may hold up two of the last five.
+            // The pauses stop growing by the sixth; the median tolerates two of five that the machine delays.
             long usual = pausesMs.subList(6, 11).stream().sorted().toList().get(2);
             assertTrue(usual < 500, "asked again only after " + pausesMs);
         }
@@ -383,12 +389,12 @@
                 Thread.sleep(350);
                 asked.raw(list.substring(list.length() * i / 5, list.length() * (i + 1) / 5));
             }
-            assertTrue(bench.discovery.next().line().contains("?index=7&"), "the list was taken");
+            assertTrue(bench.discovery.next().line().contains("?index=7&"), "the list was not applied");
             serve(bench, 0);
         }
     }
 
-    /** Neither a list that breaks off nor one that stops half-way is taken in part, or waited for long. */
+    /** A list that is truncated or stalls half-way must not be applied in part, nor block the next call. */
     @ParameterizedTest
     @ValueSource(strings = {"ends", "stops", "cut", "more"})
     void takesNoListInPartAndAsksAnew(String how) throws Exception {
@@ -409,7 +415,7 @@
                 watch.socket().close();
             }
             Peer.Message again = bench.discovery.next();
-            assertTrue(System.nanoTime() - from < 2_500_000_000L, "asked anew in time");
+            assertTrue(System.nanoTime() - from < 2_500_000_000L, "the next call came too late");
             serve(bench, 0);
             again.reply(200, Bench.list(9, true, bench.entry(1, "in_service")));
             bench.discovery.next();
@@ -433,7 +439,7 @@
         }
     }
 
-    /** What a silent watch misses counts as told after 6 s; until then a new one must be open. */
+    /** Changes that a silent watch misses count as notified after 6 s; a new watch must be open by then. */
     @Test
     void aWatchWaitsNoLongerThanItsSilenceMayTake() throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
@@ -446,7 +452,7 @@
         }
     }
 
-    /** Not after the pause that follows a failure: what it misses counts as told by then. */
+    /** The pause that follows a failure must not apply: changes missed in it would count as notified. */
     @Test
     void opensASilentWatchAnewAtOnceWhereListsAreNotPushed() throws Exception {
         try (Bench bench = new Bench(1)) {
@@ -462,7 +468,10 @@
         }
     }
 
-    /** Sooner, the call would go on with the watch that failed, and all that is missed count as told. */
+    /**
+     * A call sooner after a failure would count as the continuation of the failed watch, and changes missed
+     * in between as notified.
+     */
     @Test
     void asksNotAgainWithinTheTimeThatAWatchGoesOn() throws Exception {
         try (Bench bench = new Bench(1)) {
@@ -475,7 +484,7 @@
                 call = bench.discovery.next();
                 long pauseMs = (System.nanoTime() - failedAt) / 1_000_000;
                 assertTrue(pauseMs > 900, "asked again after " + pauseMs + " ms");
-                // With a list the pauses begin anew.
+                // A received list resets the pause to its initial length.
                 call.reply(200, bench.all(i + 1));
                 call = bench.discovery.next();
             }
@@ -532,7 +541,7 @@
         }
     }
 
-    /** They held on to the descriptors that calls need. */
+    /** Guards against idle connections that keep the descriptors which requests need. */
     @Test
     void closesConnectionsOnWhichNoProperRequestComes() throws Exception {
         try (Bench bench = new Bench(1).start(folder)) {
@@ -550,7 +559,7 @@
             for (Bench.Client peer : List.of(silent, curious, partial, bodiless)) {
                 assertNull(peer.answer());
             }
-            assertEquals(200, ready(proper), "a client may pause for longer");
+            assertEquals(200, ready(proper), "a client that has sent a valid request may pause for longer");
             assertEquals(0, bench.backends.get(0).waiting());
         }
     }
@@ -567,7 +576,7 @@
                 assertEquals(200, client.status());
                 clients.add(client);
             }
-            assertNull(clients.get(0).answer(), "the longest idle is closed");
+            assertNull(clients.get(0).answer(), "the connection that is idle for longest was not closed");
             clients.get(39).look("last");
             bench.backends.get(0).next().reply(200, "");
             assertEquals(200, clients.get(39).status());
@@ -586,7 +595,7 @@
         }
     }
 
-    /** What a pushed list has counts from the start of a process, so clients wait until it is known. */
+    /** Contents of a pushed list count as notified from the process's start, so readiness waits for it. */
     @ParameterizedTest
     @ValueSource(ints = {200, 503})
     void isReadyOnlyOnceAPushedListIsKnownOrCanNotBeHad(int status) throws Exception {
@@ -604,7 +613,7 @@
         return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
 
-    /** Has a request served by the given backend. */
+    /** Sends a request that the given backend must receive, and has it served. */
     private static void serve(Bench bench, int backend) throws Exception {
         Bench.Client client = bench.client().look("s");
         Peer.Message sent = bench.backends.get(backend).next();
@@ -613,7 +622,7 @@
         assertEquals("served", client.answer().text());
     }
 
-    /** The next request that reaches any of the first two backends. */
+    /** Returns the next request that any backend receives. */
     private static Peer.Message first(Bench bench) throws Exception {
         return bench.backends.get(bench.awaitBackend()).next();
     }
