--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -33,17 +33,18 @@
     Path folder;
 
     private int admin;
-    private Bench bench;
+    private TestBench bench;
 
     @BeforeEach
     void prepare() throws IOException {
-        bench = new Bench(2);
+        bench = new TestBench(2);
         newAddress();
     }
 
     private void newAddress() throws IOException {
-        admin = Bench.freePort();
-        bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR", folder.toString());
+        admin = TestBench.freePort();
+        bench.environment = Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + admin, "TMPDIR",
+                folder.toString());
     }
 
     @AfterEach
@@ -53,12 +54,12 @@
 
     /** Starts the proxy and lets discovery tell it all backends. */
     private void start() throws Exception {
-        bench.list(bench.all(7));
-        bench.start(folder, bench.all(7));
+        bench.answerDiscoveryWith(bench.fullList(7));
+        bench.start(folder, bench.fullList(7));
     }
 
     private int call(String method, String path, String body) throws IOException {
-        return Bench.call(admin, method, path, body);
+        return TestBench.callAdmin(admin, method, path, body);
     }
 
     private int backend(String way, String id) throws IOException {
@@ -75,9 +76,9 @@
             }
         });
         starting.start();
-        Peer.Message asked = bench.discovery.next();
-        assertEquals(503, Bench.awaitCall(admin, "GET", "/ops/readiness"));
-        asked.reply(200, bench.all(7));
+        StubServer.Message asked = bench.discovery.next();
+        assertEquals(503, TestBench.awaitAdminCall(admin, "GET", "/ops/readiness"));
+        asked.reply(200, bench.fullList(7));
         starting.join();
         assertEquals(200, call("GET", "/ops/readiness", ""));
     }
@@ -93,9 +94,10 @@
 
     @Test
     void isNeverFoundAtItsAddressWhereItIsToldToEndDuringItsWarmUp() throws Exception {
-        int port = Bench.freePort();
-        bench.list(bench.all(7));
-        Path file = Files.writeString(folder.resolve("config.json"), bench.config(port, bench.all(7)));
+        int port = TestBench.freePort();
+        bench.answerDiscoveryWith(bench.fullList(7));
+        Path file = Files.writeString(folder.resolve("config.json"),
+                bench.configJson(port, bench.fullList(7)));
         Main main = new Main(Config.read(file.toString(), bench.environment, Map.of()));
         main.start();
         // Behind the warm-up's beginning in the loop's queue, and before its end, which takes some turns.
@@ -103,7 +105,7 @@
         int found = 0;
         while (!ended.isDone()) {
             try {
-                new Socket(InetAddress.getByName(Bench.HOST), port).close();
+                new Socket(InetAddress.getByName(TestBench.HOST), port).close();
                 found++;
             } catch (ConnectException e) {
                 Thread.sleep(5);
@@ -120,16 +122,16 @@
         assertEquals(200, backend("down", "b0"));
         assertEquals(200, backend("down", "b0"));
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, bench.served());
+            assertEquals(1, bench.serveOneRequest());
         }
-        bench.list(Bench.list(8, false, bench.entry(0, "in_service")));
+        bench.answerDiscoveryWith(TestBench.listJson(8, false, bench.entry(0, "in_service")));
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, bench.served());
+            assertEquals(1, bench.serveOneRequest());
         }
         assertEquals(200, backend("up", "b0"));
         assertEquals(200, backend("up", "b0"), "it may be said again");
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-        while (bench.served() != 0) {
+        while (bench.serveOneRequest() != 0) {
             assertTrue(System.nanoTime() < until, "unused for 5 s");
         }
     }
@@ -138,13 +140,13 @@
     void closesIdleConnectionsToABackendThatIsLeftOut() throws Exception {
         start();
         assertEquals(200, backend("down", "b1"));
-        Bench.Client client = bench.client().look("r");
-        Peer.Message sent = bench.backends.get(0).next();
+        TestBench.Client client = bench.client().sendLook("r");
+        StubServer.Message sent = bench.backends.get(0).next();
         sent.reply(200, "");
         assertEquals(200, client.status());
         assertEquals(200, backend("up", "b1"));
         assertEquals(200, backend("down", "b0"));
-        sent.awaitEnd();
+        sent.awaitConnectionEnd();
     }
 
     @Test
@@ -156,7 +158,7 @@
         newAddress();
         start();
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, bench.served());
+            assertEquals(1, bench.serveOneRequest());
         }
         assertEquals(200, backend("up", "b0"));
     }
@@ -181,14 +183,14 @@
         start();
         int status = call(method, path, body);
         assertTrue(status >= 400 && status < 500, "status " + status);
-        assertTrue(bench.served() + bench.served() == 1, "both backends take turns");
+        assertTrue(bench.serveOneRequest() + bench.serveOneRequest() == 1, "both backends take turns");
     }
 
     @Test
     void saysNoToAnOversizedBody() throws Exception {
         start();
         assertEquals(413, backend("down", "b0" + " ".repeat(100_000)));
-        assertTrue(bench.served() + bench.served() == 1, "both backends take turns");
+        assertTrue(bench.serveOneRequest() + bench.serveOneRequest() == 1, "both backends take turns");
     }
 
     @Test
@@ -197,7 +199,7 @@
         List<Socket> crowd = new ArrayList<>();
         try {
             for (int i = 0; i < 200; i++) {
-                Socket caller = new Socket(InetAddress.getByName(Bench.HOST), admin);
+                Socket caller = new Socket(InetAddress.getByName(TestBench.HOST), admin);
                 crowd.add(caller);
                 if (i % 2 == 0) {
                     caller.getOutputStream().write("PUT /ops/backends/down HT".getBytes());
@@ -222,9 +224,9 @@
     }
 
     /** Null once the connection has ended, in whatever way. */
-    private static Peer.Message readOrReset(Socket socket) throws IOException {
+    private static StubServer.Message readOrReset(Socket socket) throws IOException {
         try {
-            return Peer.Message.read(new BufferedInputStream(socket.getInputStream()), socket,
+            return StubServer.Message.read(new BufferedInputStream(socket.getInputStream()), socket,
                     new java.util.concurrent.CountDownLatch(1));
         } catch (java.net.SocketException reset) {
             return null;
@@ -234,34 +236,34 @@
     @Test
     void theConfigurationNamesTheAddressWhereTheEnvironmentDoesNot() throws Exception {
         bench.environment = Map.of();
-        bench.more = "\"admin_addr\":\"" + Bench.HOST + ":" + admin + "\",";
+        bench.extraConfig = "\"admin_addr\":\"" + TestBench.HOST + ":" + admin + "\",";
         start();
         assertEquals(200, call("GET", "/ops/readiness", ""));
         assertEquals(200, backend("down", "b0"), "without TMPDIR the call holds for this process");
-        assertEquals(1, bench.served());
+        assertEquals(1, bench.serveOneRequest());
     }
 
     @Test
     void startsThoughItsFolderCantBeHadAtFirstAndKeepsCallsOnceItCan() throws Exception {
         Path state = Files.writeString(folder.resolve("state"), "a file where the folder should be");
-        bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR", state.toString());
+        bench.environment = Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + admin, "TMPDIR", state.toString());
         start();
         assertEquals(500, backend("down", "b0"), "the call would not outlive this process");
         Files.delete(state);
-        long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
+        long until = System.nanoTime() + StubServer.TIMEOUT_S * 1_000_000_000L;
         while (backend("down", "b0") != 200 && System.nanoTime() < until) {
             Thread.sleep(20);
         }
-        assertEquals(1, bench.served());
+        assertEquals(1, bench.serveOneRequest());
     }
 
     @Test
     void anAddressThatCanNotBeUsedFailsTheStart() throws Exception {
-        Path file = Files.writeString(folder.resolve("c.json"), bench.config(0, "null"));
+        Path file = Files.writeString(folder.resolve("c.json"), bench.configJson(0, "null"));
         assertThrowsConfig(() -> Config.read(file.toString(), Map.of("GW_ADMIN_ADDR", "here:1"),
                 Map.of()));
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName(Bench.HOST))) {
-            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + taken.getLocalPort());
+        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName(TestBench.HOST))) {
+            bench.environment = Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + taken.getLocalPort());
             assertThrowsConfig(() -> bench.start(folder));
         }
     }
--- a/src/test/java/larkworks/proxy/BackendPoolTest.java
+++ b/src/test/java/larkworks/proxy/BackendPoolTest.java
@@ -32,11 +32,11 @@
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    private Peer backend;
+    private StubServer backend;
 
     @BeforeEach
     void open() throws Exception {
-        backend = new Peer();
+        backend = new StubServer();
     }
 
     @AfterEach
@@ -51,7 +51,7 @@
         return pool;
     }
 
-    private void begin(BackendPool pool, Peer to, FullHttpRequest request) {
+    private void begin(BackendPool pool, StubServer to, FullHttpRequest request) {
         InetSocketAddress address = Config.address(to.address());
         group.next().execute(() -> pool.begin(address, () -> request, a -> outcomes.add(a.outcome())));
     }
@@ -61,7 +61,7 @@
     }
 
     private Outcome outcome() throws InterruptedException {
-        return outcomes.poll(Peer.LIMIT_S, TimeUnit.SECONDS);
+        return outcomes.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** Lets the time pass in which connections that just brought an answer are not used again. */
@@ -75,7 +75,7 @@
         BackendPool pool = pool(new Sockets(4, 0));
         begin(pool, backend, request());
         begin(pool, backend, request());
-        Peer.Message first = backend.next();
+        StubServer.Message first = backend.next();
         backend.next();
         begin(pool, backend, request());
         assertEquals(Outcome.NOT_SENT, outcome());
@@ -110,7 +110,7 @@
         });
         assertEquals(Outcome.CANCELLED, outcome(), "nothing is told before the exchange is handed out");
         assertEquals(Outcome.NOT_SENT, outcome());
-        assertEquals(true, onLoop.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertEquals(true, onLoop.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(0, sockets.open());
         none.set(false);
         begin(pool, backend, request());
@@ -121,17 +121,17 @@
 
     @Test
     void closesAnIdleConnectionToMakeRoomForAnotherBackend() throws Exception {
-        try (Peer other = new Peer()) {
+        try (StubServer other = new StubServer()) {
             Sockets sockets = new Sockets(2, 0);
             BackendPool pool = pool(sockets);
             sockets.take();
             for (int i = 0; i < 2; i++) {
                 begin(pool, backend, request());
-                Peer.Message message = backend.next();
+                StubServer.Message message = backend.next();
                 message.reply(200, "");
                 assertEquals(Outcome.OK, outcome());
                 begin(pool, other, request());
-                message.awaitEnd();
+                message.awaitConnectionEnd();
                 other.next().reply(200, "");
                 assertEquals(Outcome.OK, outcome());
             }
@@ -147,7 +147,7 @@
         backend.next().reply(200, "");
         assertEquals(Outcome.OK, outcome());
         assertEquals(1, backend.connections(), "the connection was of use to the next");
-        assertEquals(0, backend.waiting());
+        assertEquals(0, backend.pendingMessages());
     }
 
     @Test
@@ -191,10 +191,10 @@
     void takesNoAnswerThatIsNotHttpToTheLetter(String answer) throws Exception {
         BackendPool pool = pool(new Sockets(16, 0));
         begin(pool, backend, request());
-        Peer.Message sent = backend.next();
-        sent.raw(answer);
+        StubServer.Message sent = backend.next();
+        sent.sendRaw(answer);
         assertEquals(Outcome.RESET, outcome());
-        sent.awaitEnd();
+        sent.awaitConnectionEnd();
     }
 
     /** What had come by the reset was served as the whole body. */
@@ -203,14 +203,14 @@
         BackendPool pool = pool(new Sockets(64, 0));
         for (int i = 0; i < 20; i++) {
             begin(pool, backend, request());
-            Peer.Message sent = backend.next();
-            sent.raw("HTTP/1.1 200 OK\r\n\r\nhalf of the bod");
+            StubServer.Message sent = backend.next();
+            sent.sendRaw("HTTP/1.1 200 OK\r\n\r\nhalf of the bod");
             sent.reset();
             assertEquals(Outcome.RESET, outcome());
         }
         begin(pool, backend, request());
-        Peer.Message sent = backend.next();
-        sent.raw("HTTP/1.1 200 OK\r\n\r\nall of it");
+        StubServer.Message sent = backend.next();
+        sent.sendRaw("HTTP/1.1 200 OK\r\n\r\nall of it");
         sent.socket().close();
         assertEquals(Outcome.OK, outcome());
     }
@@ -232,26 +232,26 @@
     void givesNoRequestWhatCameBehindTheAnswerToAnother() throws Exception {
         BlockingQueue<String> bodies = askTwice();
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
-        Peer.Message sent = backend.next();
-        sent.raw(answer + answer);
-        assertEquals("first", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        sent.awaitEnd();
+        StubServer.Message sent = backend.next();
+        sent.sendRaw(answer + answer);
+        assertEquals("first", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
+        sent.awaitConnectionEnd();
         backend.next().reply(200, "next");
-        assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertEquals("next", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     /** Nor a second answer that comes some milliseconds late: the next request takes another connection. */
     @Test
     void givesNoRequestASecondAnswerThatComesLate() throws Exception {
         BlockingQueue<String> bodies = askTwice();
-        Peer.Message sent = backend.next();
+        StubServer.Message sent = backend.next();
         sent.reply(200, "first");
-        assertEquals("first", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        Peer.Message next = backend.next();
+        assertEquals("first", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
+        StubServer.Message next = backend.next();
         sent.reply(200, "second answer");
         next.reply(200, "next");
-        assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        sent.awaitEnd();
+        assertEquals("next", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
+        sent.awaitConnectionEnd();
     }
 
     /** The loop is held up while a second answer comes, and for longer than a connection rests. */
@@ -261,7 +261,7 @@
         InetSocketAddress address = Config.address(backend.address());
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
         begin(pool, backend, request());
-        Peer.Message sent = backend.next();
+        StubServer.Message sent = backend.next();
         sent.reply(200, "first");
         assertEquals(Outcome.OK, outcome());
         group.next().execute(() -> {
@@ -274,7 +274,7 @@
             pool.begin(address, BackendPoolTest::request, a -> bodies.add(BackendPool.text(a.body())));
         });
         backend.next().reply(200, "next");
-        assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertEquals("next", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @ParameterizedTest
@@ -286,7 +286,7 @@
     void takesEveryFormOfAnAnswerThatHttpAllows(String answer) throws Exception {
         BackendPool pool = pool(new Sockets(16, 0));
         begin(pool, backend, request());
-        backend.next().raw(answer);
+        backend.next().sendRaw(answer);
         assertEquals(Outcome.OK, outcome());
     }
 
--- a/src/test/java/larkworks/proxy/ConnectionClosingTest.java
+++ b/src/test/java/larkworks/proxy/ConnectionClosingTest.java
@@ -22,95 +22,101 @@
 class ConnectionClosingTest {
 
     /** Size of an answer that exceeds a client's small receive buffer, but that the proxy buffers whole. */
-    private static final int HELD = 40_000;
+    private static final int BUFFERED_ANSWER_BYTES = 40_000;
     /** Size of an answer that the proxy streams instead of buffering it. */
-    private static final int LARGE = 66_000;
-    /** Blocks the event loop past an unproven connection's request timeout and a request's deadline. */
-    private static final int BEHIND_MS = 2_600;
+    private static final int STREAMED_ANSWER_BYTES = 66_000;
+    /** How long the event loop is blocked: past the request timeout and a request's deadline. */
+    private static final int LOOP_BLOCKED_MS = 2_600;
 
     @TempDir
     Path folder;
 
     /** The reasons for which a connection closes after an answer. */
-    enum Reason {
-        DRAIN, ASKED, OLD_CLIENT;
+    enum CloseReason {
+        PROXY_SHUTTING_DOWN, CLIENT_ASKED_TO_CLOSE, HTTP_1_0_CLIENT;
 
-        private String request(String method, String id, int budgetMs) {
-            return method + " HTTP/1." + (this == OLD_CLIENT ? 0 : 1) + "\r\nHost: x\r\nX-Call-Id: " + id
+        private String requestText(String method, String id, int budgetMs) {
+            return method + " HTTP/1." + (this == HTTP_1_0_CLIENT ? 0 : 1) + "\r\nHost: x\r\nX-Call-Id: " + id
                     + "\r\nX-Budget-Ms: " + budgetMs + "\r\nContent-Length: 0\r\n"
-                    + (this == ASKED ? "Connection: close\r\n" : "") + "\r\n";
+                    + (this == CLIENT_ASKED_TO_CLOSE ? "Connection: close\r\n" : "") + "\r\n";
         }
 
-        private void come(Bench bench) throws Exception {
-            if (this == DRAIN) {
-                bench.end();
+        /** Begins the proxy's shutdown if that is the reason; a request itself carries the others. */
+        private void prepare(TestBench bench) throws Exception {
+            if (this == PROXY_SHUTTING_DOWN) {
+                bench.beginShutdown();
             }
         }
     }
 
-    private static void assertEndsAndSentNothing(Bench bench, Bench.Client client) throws IOException {
+    private static void assertClosedWithoutFurtherRequest(TestBench bench, TestBench.Client client)
+            throws IOException {
         assertNull(client.answer(), "the connection was not closed in order");
-        assertEquals(0, bench.backends.get(0).waiting(), "a request behind the last answer was sent on");
+        assertEquals(0, bench.backends.get(0).pendingMessages(),
+                "a request behind the last answer was sent on");
     }
 
     // ---- unread bytes in the proxy's socket when the last answer is written
 
     /** When the connection closes, most of the last but one answer is still in the kernel's send buffer. */
     @ParameterizedTest
-    @EnumSource(Reason.class)
-    void allAnswersArriveThoughTheNextRequestIsOnItsWay(Reason why) throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.slowReader().look("first")
-                    .send(why.request("POST /act", "last", BEHIND_MS));
-            bench.backends.get(0).next().reply(200, "x".repeat(HELD));
+    @EnumSource(CloseReason.class)
+    void deliversAllAnswersDespiteUnreadNextRequest(CloseReason reason) throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.clientWithSmallBuffer().sendLook("first")
+                    .send(reason.requestText("POST /act", "last", LOOP_BLOCKED_MS));
+            bench.backends.get(0).next().reply(200, "x".repeat(BUFFERED_ANSWER_BYTES));
             assertEquals("last", bench.backends.get(0).next().header("X-Call-Id"));
-            why.come(bench);
+            reason.prepare(bench);
             // The last request is answered at its deadline, while the next request is unread.
-            bench.beforeTimersDueIn(BEHIND_MS, () -> client.look("next"));
-            bench.awaitTurn();
-            assertEquals("x".repeat(HELD), client.answer().text());
+            bench.beforeTimersDueWithin(LOOP_BLOCKED_MS, () -> client.sendLook("next"));
+            bench.awaitLoopIteration();
+            assertEquals("x".repeat(BUFFERED_ANSWER_BYTES), client.answer().text());
             assertEquals(502, client.status());
-            assertEndsAndSentNothing(bench, client);
+            assertClosedWithoutFurtherRequest(bench, client);
         }
     }
 
     @ParameterizedTest
-    @EnumSource(Reason.class)
-    void aLargeLastAnswerArrivesWholeThoughTheNextRequestIsOnItsWay(Reason why) throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
+    @EnumSource(CloseReason.class)
+    void deliversStreamedLastAnswerDespiteUnreadNextRequest(CloseReason reason) throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
             // If both connections are readable the older one is read first: the backend's must be older.
-            bench.connectBackend(0);
-            Bench.Client client = bench.slowReader().send(why.request("GET /look", "last", 20_000));
-            Peer.Message sent = bench.backends.get(0).next();
-            why.come(bench);
-            sent.raw("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n" + "x".repeat(LARGE - HELD));
-            bench.settle();
-            bench.inOneTurn(() -> {
-                sent.raw("x".repeat(HELD));
-                client.look("next");
+            bench.poolBackendConnection(0);
+            TestBench.Client client = bench.clientWithSmallBuffer().send(
+                    reason.requestText("GET /look", "last", 20_000));
+            StubServer.Message request = bench.backends.get(0).next();
+            reason.prepare(bench);
+            request.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + STREAMED_ANSWER_BYTES + "\r\n\r\n"
+                    + "x".repeat(STREAMED_ANSWER_BYTES - BUFFERED_ANSWER_BYTES));
+            bench.awaitInputProcessed();
+            bench.inOneLoopIteration(() -> {
+                request.sendRaw("x".repeat(BUFFERED_ANSWER_BYTES));
+                client.sendLook("next");
             });
-            bench.awaitTurn();
-            assertEquals("x".repeat(LARGE), client.answer().text());
-            assertEndsAndSentNothing(bench, client);
+            bench.awaitLoopIteration();
+            assertEquals("x".repeat(STREAMED_ANSWER_BYTES), client.answer().text());
+            assertClosedWithoutFurtherRequest(bench, client);
         }
     }
 
     @Test
-    void allThatCameOfABrokenAnswerArrivesThoughTheNextRequestIsOnItsWay() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            bench.connectBackend(0);
-            Bench.Client client = bench.slowReader().look("broken");
-            Peer.Message sent = bench.backends.get(0).next();
-            String head = "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n";
-            bench.inOneTurn(() -> {
-                sent.raw(head + "x".repeat(HELD));
-                sent.socket().close();
-                client.look("next");
+    void deliversReceivedPartOfBrokenAnswerDespiteUnreadNextRequest() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            bench.poolBackendConnection(0);
+            TestBench.Client client = bench.clientWithSmallBuffer().sendLook("broken");
+            StubServer.Message request = bench.backends.get(0).next();
+            String head = "HTTP/1.1 200 OK\r\nContent-Length: " + STREAMED_ANSWER_BYTES + "\r\n\r\n";
+            bench.inOneLoopIteration(() -> {
+                request.sendRaw(head + "x".repeat(BUFFERED_ANSWER_BYTES));
+                request.socket().close();
+                client.sendLook("next");
             });
-            bench.awaitTurn();
-            String came = new String(client.in().readAllBytes(), StandardCharsets.UTF_8);
-            assertEquals("x".repeat(HELD), came.substring(came.indexOf("\r\n\r\n") + 4));
-            assertEquals(0, bench.backends.get(0).waiting());
+            bench.awaitLoopIteration();
+            String received = new String(client.in().readAllBytes(), StandardCharsets.UTF_8);
+            assertEquals("x".repeat(BUFFERED_ANSWER_BYTES),
+                    received.substring(received.indexOf("\r\n\r\n") + 4));
+            assertEquals(0, bench.backends.get(0).pendingMessages());
         }
     }
 
@@ -118,46 +124,46 @@
 
     /** The answers exceed the kernel's send buffer; the proxy keeps the rest while no request follows. */
     @Test
-    void answersStillGoingOutAreFinishedBeforeTheirConnectionCountsAsUnused() throws Exception {
-        int answers = 200;
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.slowReader();
-            for (int i = 0; i < answers; i++) {
-                client.look(Integer.toString(i));
-                bench.backends.get(0).next().reply(200, "x".repeat(HELD));
+    void finishesWritingAnswersBeforeClosingIdleConnection() throws Exception {
+        int answerCount = 200;
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.clientWithSmallBuffer();
+            for (int i = 0; i < answerCount; i++) {
+                client.sendLook(Integer.toString(i));
+                bench.backends.get(0).next().reply(200, "x".repeat(BUFFERED_ANSWER_BYTES));
             }
-            bench.settle();
-            CompletableFuture<Void> ended = bench.end();
+            bench.awaitInputProcessed();
+            CompletableFuture<Void> shutdown = bench.beginShutdown();
             bench.awaitListenerClosed();
-            for (int i = 0; i < answers; i++) {
-                assertEquals("x".repeat(HELD), client.answer().text());
+            for (int i = 0; i < answerCount; i++) {
+                assertEquals("x".repeat(BUFFERED_ANSWER_BYTES), client.answer().text());
             }
-            assertEndsAndSentNothing(bench, client);
-            ended.get(Peer.LIMIT_S, TimeUnit.SECONDS);
+            assertClosedWithoutFurtherRequest(bench, client);
+            shutdown.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void theProcessEndsThoughClientsKeepTheirConnectionsOpen() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client unused = bench.client().look("0");
+    void shutsDownThoughClientsKeepConnectionsOpen() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client idleClient = bench.client().sendLook("0");
             bench.backends.get(0).next().reply(200, "");
-            assertEquals(200, unused.status());
-            Bench.Client answered = bench.client().look("1");
-            Peer.Message sent = bench.backends.get(0).next();
-            CompletableFuture<Void> ended = bench.end();
-            sent.reply(200, "");
-            assertEquals(200, answered.status());
-            ended.get(Peer.LIMIT_S, TimeUnit.SECONDS);
+            assertEquals(200, idleClient.status());
+            TestBench.Client inFlightClient = bench.client().sendLook("1");
+            StubServer.Message request = bench.backends.get(0).next();
+            CompletableFuture<Void> shutdown = bench.beginShutdown();
+            request.reply(200, "");
+            assertEquals(200, inFlightClient.status());
+            shutdown.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void aStrangersRequestIsServedThoughTheLoopReadsItOnlyAfterItsTime() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client();
-            bench.settle();
-            bench.beforeTimersDueIn(BEHIND_MS, () -> client.look("late to be read"));
+    void servesFirstRequestThatLoopReadsAfterRequestTimeout() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client();
+            bench.awaitInputProcessed();
+            bench.beforeTimersDueWithin(LOOP_BLOCKED_MS, () -> client.sendLook("late to be read"));
             bench.backends.get(0).next().reply(200, "served");
             assertEquals("served", client.answer().text());
         }
@@ -166,15 +172,16 @@
     // ---- descriptors
 
     @Test
-    void connectionsThatOnlyWaitForTheirClientsToCloseTakeNoDescriptorFromOthers() throws Exception {
-        try (Bench bench = new Bench(1)) {
-            bench.sockets = 64;
+    void lingeringConnectionsDoNotStarveOthersOfDescriptors() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
+            bench.maxSockets = 64;
             bench.start(folder);
-            List<Bench.Client> lingering = new ArrayList<>();
+            List<TestBench.Client> lingeringClients = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
-                Bench.Client client = bench.client();
-                lingering.add(client);
-                client.send(Reason.ASKED.request("GET /look", Integer.toString(i), 20_000));
+                TestBench.Client client = bench.client();
+                lingeringClients.add(client);
+                client.send(CloseReason.CLIENT_ASKED_TO_CLOSE.requestText("GET /look", Integer.toString(i),
+                        20_000));
                 bench.backends.get(0).next().reply(200, "");
                 assertEquals(200, client.status());
             }
@@ -183,17 +190,17 @@
 
     /** All clients connect at once and send their requests before the proxy accepts their connections. */
     @Test
-    void noRequestThatLiesUnreadIsClosedToMakeRoomForOthers() throws Exception {
-        try (Bench bench = new Bench(1)) {
-            bench.sockets = 64;
+    void doesNotEvictConnectionWithUnreadRequest() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
+            bench.maxSockets = 64;
             bench.start(folder);
-            List<Bench.Client> crowd = new ArrayList<>();
-            bench.inOneTurn(() -> {
+            List<TestBench.Client> clients = new ArrayList<>();
+            bench.inOneLoopIteration(() -> {
                 for (int i = 0; i < 48; i++) {
-                    crowd.add(bench.client().look(Integer.toString(i)));
+                    clients.add(bench.client().sendLook(Integer.toString(i)));
                 }
             });
-            Thread backend = new Thread(() -> {
+            Thread responder = new Thread(() -> {
                 try {
                     while (true) {
                         bench.backends.get(0).next().reply(200, "");
@@ -202,11 +209,11 @@
                     // The test is over.
                 }
             });
-            backend.setDaemon(true);
-            backend.start();
-            for (int i = 0; i < crowd.size(); i++) {
-                assertNotNull(crowd.get(i).answer(), "closed without an answer: " + i);
-                crowd.get(i).socket().close();
+            responder.setDaemon(true);
+            responder.start();
+            for (int i = 0; i < clients.size(); i++) {
+                assertNotNull(clients.get(i).answer(), "closed without an answer: " + i);
+                clients.get(i).socket().close();
             }
         }
     }
--- a/src/test/java/larkworks/proxy/DescriptorReserveTest.java
+++ b/src/test/java/larkworks/proxy/DescriptorReserveTest.java
@@ -35,8 +35,8 @@
     /** Requests in flight hold every socket there is, none of which may be closed for discovery. */
     @Test
     void reachesDiscoveryThoughRequestsInFlightHoldAllSockets() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.sockets = 8;
+        try (TestBench bench = new TestBench(2)) {
+            bench.maxSockets = 8;
             bench.drainGraceUs = 5_000_000;
             bench.start(folder);
             for (int i = 0; i < 6; i++) {
@@ -44,12 +44,12 @@
                 bench.discovery.next().reply(503, "");
             }
             // Of eight descriptors four are for connections: two clients', and one to each backend.
-            Bench.Client one = bench.client().look("one");
-            Peer.Message first = bench.backends.get(bench.awaitBackend()).next();
-            Bench.Client other = bench.client().look("other");
-            Peer.Message second = bench.backends.get(bench.awaitBackend()).next();
-            Peer.Message again = bench.discovery.next();
-            again.reply(200, Bench.list(2, true, bench.entry(0, "terminating"),
+            TestBench.Client one = bench.client().sendLook("one");
+            StubServer.Message first = bench.backends.get(bench.awaitBackendWithRequest()).next();
+            TestBench.Client other = bench.client().sendLook("other");
+            StubServer.Message second = bench.backends.get(bench.awaitBackendWithRequest()).next();
+            StubServer.Message again = bench.discovery.next();
+            again.reply(200, TestBench.listJson(2, true, bench.entry(0, "terminating"),
                     bench.entry(1, "terminating")));
             assertTrue(bench.discovery.next().line().contains("index=2"), "the drain was taken");
             first.reply(200, "");
@@ -63,7 +63,7 @@
     @Test
     void connectsToDiscoveryWithoutClosingAnotherConnection() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Peer discovery = new Peer()) {
+        try (StubServer discovery = new StubServer()) {
             Sockets sockets = new Sockets(4, 0);
             sockets.evictors(() -> {
                 throw new AssertionError("a connection is closed");
@@ -75,7 +75,7 @@
             var up = group.next().<Boolean>newPromise();
             Channel channel = sockets.connectReserved(bootstrap, group.next(),
                     Config.address(discovery.address()), connected -> up.setSuccess(connected.isSuccess()));
-            assertTrue(up.get(Peer.LIMIT_S, TimeUnit.SECONDS));
+            assertTrue(up.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(before, sockets.open(), "counted apart");
             channel.close().sync();
             assertEquals(before, sockets.open(), "nothing is given back that was not taken");
@@ -93,32 +93,32 @@
         int descriptors = 128;
         // In service there is one jar; here the system counts each of the tests' own.
         int jars = System.getProperty("java.class.path").split(File.pathSeparator).length;
-        int listen = Bench.freePort();
-        int admin = Bench.freePort();
-        try (Bench bench = new Bench(2)) {
-            bench.sockets = descriptors;
-            bench.at(listen);
+        int listen = TestBench.freePort();
+        int admin = TestBench.freePort();
+        try (TestBench bench = new TestBench(2)) {
+            bench.maxSockets = descriptors;
+            bench.useProxyAt(listen);
             Path config = Files.writeString(folder.resolve("config.json"),
-                    bench.config(listen, bench.all(1)));
+                    bench.configJson(listen, bench.fullList(1)));
             try (Program proxy = new Program("ulimit -n " + (descriptors + jars - 1), Map.of("GW_CONFIG",
-                    config.toString(), "GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR",
+                    config.toString(), "GW_ADMIN_ADDR", TestBench.HOST + ":" + admin, "TMPDIR",
                     Files.createDirectories(folder.resolve("own")).toString()), "proxy")) {
-                Peer.Message call = bench.discovery.next();
-                call.reply(200, bench.all(2));
-                Peer.Message watch = bench.discovery.next();
+                StubServer.Message call = bench.discovery.next();
+                call.reply(200, bench.fullList(2));
+                StubServer.Message watch = bench.discovery.next();
                 Program.await(30, proxy.lines::toString, () -> ready(admin));
 
                 watch.reset();
                 crowd(bench);
-                Peer.Message down = bench.discovery.next();
+                StubServer.Message down = bench.discovery.next();
                 down.reply(503, "");
                 crowd(bench);
-                Peer.Message back = bench.discovery.next();
-                back.reply(200, Bench.list(3, true, bench.entry(0, "terminating"),
+                StubServer.Message back = bench.discovery.next();
+                back.reply(200, TestBench.listJson(3, true, bench.entry(0, "terminating"),
                         bench.entry(1, "in_service")));
                 assertTrue(bench.discovery.next().line().contains("index=3"), "the drain was taken");
                 for (int i = 0; i < 5; i++) {
-                    assertEquals(1, bench.served());
+                    assertEquals(1, bench.serveOneRequest());
                 }
                 assertTrue(ready(admin), "the operators' address answers");
                 assertFalse(proxy.lines.toString().contains("Too many open files"), proxy.lines::toString);
@@ -126,7 +126,7 @@
         }
     }
 
-    private static void crowd(Bench bench) throws IOException {
+    private static void crowd(TestBench bench) throws IOException {
         for (int i = 0; i < CROWD; i++) {
             bench.client();
         }
@@ -134,7 +134,7 @@
 
     private static boolean ready(int admin) {
         try {
-            return Bench.call(admin, "GET", "/ops/readiness", "") == 200;
+            return TestBench.callAdmin(admin, "GET", "/ops/readiness", "") == 200;
         } catch (IOException e) {
             return false;
         }
--- a/src/test/java/larkworks/proxy/DiscoveryStandIn.java
+++ b/src/test/java/larkworks/proxy/DiscoveryStandIn.java
@@ -50,12 +50,12 @@
     DiscoveryStandIn(Way way, String list) throws IOException {
         this.way = way;
         this.list = list.getBytes(StandardCharsets.UTF_8);
-        server = HttpServer.create(new InetSocketAddress(Bench.HOST, 0), 1_024);
+        server = HttpServer.create(new InetSocketAddress(TestBench.HOST, 0), 1_024);
         server.setExecutor(threads);
         server.createContext("/", this::answer);
         // A server that never started would leave its port open, and hang.
         server.start();
-        address = Bench.HOST + ":" + server.getAddress().getPort();
+        address = TestBench.HOST + ":" + server.getAddress().getPort();
         if (way == Way.DOWN) {
             server.stop(0);
         }
@@ -70,7 +70,7 @@
         try {
             if (query != null) {
                 Thread.sleep(Long.parseLong(query.substring(query.indexOf("wait=") + 5)));
-                send(exchange, 200, Bench.list(2, false).getBytes(StandardCharsets.UTF_8), 0);
+                send(exchange, 200, TestBench.listJson(2, false).getBytes(StandardCharsets.UTF_8), 0);
                 return;
             }
             calls.incrementAndGet();
--- a/src/test/java/larkworks/proxy/DiscoveryTermsTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryTermsTest.java
@@ -48,14 +48,14 @@
     }
 
     /** The call that follows once a list was taken. */
-    private static Peer.Message afterTaking(Bench bench, int index) throws Exception {
-        Peer.Message next = bench.discovery.next();
+    private static StubServer.Message afterTaking(TestBench bench, int index) throws Exception {
+        StubServer.Message next = bench.discovery.next();
         assertTrue(next.line().contains("?index=" + index + "&"), next.line());
         return next;
     }
 
     /** Ends a call without a list. */
-    private static void fail(Peer.Message call, String how) throws Exception {
+    private static void fail(StubServer.Message call, String how) throws Exception {
         switch (how) {
             case "reset" -> call.reset();
             case "end" -> call.socket().close();
@@ -64,13 +64,13 @@
         }
     }
 
-    private static String drained(Bench bench, int index) {
-        return Bench.list(index, true, bench.entry(0, "terminating"), bench.entry(1, "in_service"));
+    private static String drained(TestBench bench, int index) {
+        return TestBench.listJson(index, true, bench.entry(0, "terminating"), bench.entry(1, "in_service"));
     }
 
-    private static void assertServedBy(Bench bench, int backend) throws Exception {
+    private static void assertServedBy(TestBench bench, int backend) throws Exception {
         for (int i = 0; i < 5; i++) {
-            assertEquals(backend, bench.served());
+            assertEquals(backend, bench.serveOneRequest());
         }
     }
 
@@ -78,12 +78,12 @@
     @ParameterizedTest
     @CsvSource({"pushed,503", "pushed,reset", "on_request,503", "on_request,end"})
     void hearsOfADrainInTimeThoughTheFirstCallAfterAnOutageHangs(String mode, String how) throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
             bench.drainGraceUs = 5_000_000;
             bench.askEveryUs = 40_000_000;
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(1));
+            bench.discovery.next().reply(200, bench.fullList(1));
             int[] index = {1};
             assertWithin(TOLD_MS, () -> {
                 for (int i = 0; i < 5; i++) {
@@ -92,10 +92,10 @@
                 long back = System.nanoTime();
                 bench.discovery.next();
                 bench.discovery.next().reply(200, drained(bench, ++index[0]));
-                Peer.Message watch = afterTaking(bench, index[0]);
+                StubServer.Message watch = afterTaking(bench, index[0]);
                 long tookMs = sinceMs(back);
                 assertServedBy(bench, 1);
-                watch.reply(200, bench.all(++index[0]));
+                watch.reply(200, bench.fullList(++index[0]));
                 return tookMs;
             });
         }
@@ -104,11 +104,11 @@
     /** Where calls wait in turn, a drain right after the start is told on the only call there is yet. */
     @Test
     void watchesFromTheListInItsConfigurationWhereListsAreAskedFor() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = "on_request";
-            bench.start(folder, bench.all(7));
-            Peer.Message first = afterTaking(bench, 7);
-            first.reply(200, Bench.list(8, false, bench.entry(0, "terminating")));
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = "on_request";
+            bench.start(folder, bench.fullList(7));
+            StubServer.Message first = afterTaking(bench, 7);
+            first.reply(200, TestBench.listJson(8, false, bench.entry(0, "terminating")));
             afterTaking(bench, 8);
             assertServedBy(bench, 1);
         }
@@ -117,11 +117,11 @@
     /** The version in the configuration may be one that discovery doesn't know any more. */
     @Test
     void asksForTheWholeListWhereTheVersionInItsConfigurationIsRefused() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = "on_request";
-            bench.start(folder, bench.all(7));
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = "on_request";
+            bench.start(folder, bench.fullList(7));
             afterTaking(bench, 7).reply(404, "");
-            Peer.Message whole = bench.discovery.next();
+            StubServer.Message whole = bench.discovery.next();
             assertEquals("GET /registry/instances HTTP/1.1", whole.line());
             whole.reply(200, drained(bench, 2));
             afterTaking(bench, 2);
@@ -133,11 +133,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void waitsForAListFromADiscoveryThatIsSlow(String mode) throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
             bench.start(folder);
-            bench.discovery.next().awaitEnd();
-            Peer.Message call = bench.discovery.next();
+            bench.discovery.next().awaitConnectionEnd();
+            StubServer.Message call = bench.discovery.next();
             // That the answer is so late is what the test is about: by 2 s the first call was given up.
             Thread.sleep(2_600);
             call.reply(200, drained(bench, 2));
@@ -153,25 +153,25 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void hearsInTimeOfWhatALateSilentWatchMissedThoughItsReopeningFails(String mode) throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(1));
+            bench.discovery.next().reply(200, bench.fullList(1));
             int[] index = {1};
             assertWithin(TOLD_MS, () -> {
                 for (int i = 0; i < 4; i++) {
-                    Peer.Message watch = afterTaking(bench, index[0]);
-                    watch.reply(200, Bench.list(++index[0], false));
+                    StubServer.Message watch = afterTaking(bench, index[0]);
+                    watch.reply(200, TestBench.listJson(++index[0], false));
                 }
-                Peer.Message silent = afterTaking(bench, index[0]);
+                StubServer.Message silent = afterTaking(bench, index[0]);
                 long fellSilent = System.nanoTime();
-                silent.awaitEnd();
+                silent.awaitConnectionEnd();
                 bench.discovery.next().reply(503, "");
                 bench.discovery.next().reply(200, drained(bench, ++index[0]));
-                Peer.Message watch = afterTaking(bench, index[0]);
+                StubServer.Message watch = afterTaking(bench, index[0]);
                 long tookMs = sinceMs(fellSilent);
                 assertServedBy(bench, 1);
-                watch.reply(200, bench.all(++index[0]));
+                watch.reply(200, bench.fullList(++index[0]));
                 return tookMs;
             });
         }
@@ -183,18 +183,18 @@
         "on_request,empty"})
     void sendsNothingMoreToWhatAWholeListLeavesOutAfterAWatchEnded(String mode, String how)
             throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
-            bench.probes = true;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
+            bench.probesEnabled = true;
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(1));
-            Peer.Message watch = afterTaking(bench, 1);
-            Bench.Client client = bench.client().look("in flight");
+            bench.discovery.next().reply(200, bench.fullList(1));
+            StubServer.Message watch = afterTaking(bench, 1);
+            TestBench.Client client = bench.client().sendLook("in flight");
             int left = -1;
-            Peer.Message inFlight = null;
+            StubServer.Message inFlight = null;
             while (inFlight == null) {
-                left = bench.awaitBackend();
-                Peer.Message came = bench.backends.get(left).next();
+                left = bench.awaitBackendWithRequest();
+                StubServer.Message came = bench.backends.get(left).next();
                 if (came.line().startsWith("GET /stats")) {
                     came.reply(200, "inflight=0");
                 } else {
@@ -202,27 +202,28 @@
                 }
             }
             fail(watch, how);
-            bench.discovery.next().reply(200, Bench.list(2, true, bench.entry(1 - left, "in_service")));
+            bench.discovery.next().reply(200,
+                    TestBench.listJson(2, true, bench.entry(1 - left, "in_service")));
             afterTaking(bench, 2);
-            bench.settle();
-            Peer still = bench.backends.get(left);
-            while (still.waiting() > 0) {
+            bench.awaitInputProcessed();
+            StubServer still = bench.backends.get(left);
+            while (still.pendingMessages() > 0) {
                 assertTrue(still.next().line().startsWith("GET /stats"), "a probe from before");
             }
             int connections = still.connections();
             for (int i = 0; i < 10; i++) {
                 serveByOther(bench, 1 - left, "r" + i);
             }
-            assertEquals(0, still.waiting(), "neither requests nor probes");
+            assertEquals(0, still.pendingMessages(), "neither requests nor probes");
             assertEquals(connections, still.connections());
             inFlight.reply(200, "finished");
             assertEquals("finished", client.answer().text());
         }
     }
 
-    private static void serveByOther(Bench bench, int backend, String id) throws Exception {
-        Bench.Client client = bench.client().look(id);
-        Peer.Message came = bench.backends.get(backend).next();
+    private static void serveByOther(TestBench bench, int backend, String id) throws Exception {
+        TestBench.Client client = bench.client().sendLook(id);
+        StubServer.Message came = bench.backends.get(backend).next();
         while (came.line().startsWith("GET /stats")) {
             came.reply(200, "inflight=0");
             came = bench.backends.get(backend).next();
@@ -235,17 +236,18 @@
     @ParameterizedTest
     @ValueSource(strings = {"left out", "terminated"})
     void endsAConnectingAttemptToABackendThatIsGone(String how) throws Exception {
-        try (Bench bench = new Bench(1); Hanging gone = new Hanging()) {
+        try (TestBench bench = new TestBench(1); FullBacklogServer gone = new FullBacklogServer()) {
             bench.connectTimeoutUs = 25_000_000;
             bench.drainGraceUs = 60_000_000;
-            String up = Bench.list(1, true, Bench.entry("b", gone.address(), "in_service"));
+            String up = TestBench.listJson(1, true, TestBench.entry("b", gone.address(), "in_service"));
             bench.start(folder, up);
             bench.discovery.next().reply(200, up);
-            Peer.Message watch = afterTaking(bench, 1);
-            Bench.Client client = bench.client().look("r");
-            bench.settle();
-            watch.reply(200, how.equals("left out") ? Bench.list(2, true, bench.entry(0, "in_service"))
-                    : Bench.list(2, false, Bench.entry("b", gone.address(), "terminated"),
+            StubServer.Message watch = afterTaking(bench, 1);
+            TestBench.Client client = bench.client().sendLook("r");
+            bench.awaitInputProcessed();
+            watch.reply(200, how.equals("left out")
+                    ? TestBench.listJson(2, true, bench.entry(0, "in_service"))
+                    : TestBench.listJson(2, false, TestBench.entry("b", gone.address(), "terminated"),
                             bench.entry(0, "in_service")));
             bench.backends.get(0).next().reply(200, "elsewhere");
             assertEquals("elsewhere", client.answer().text());
@@ -256,13 +258,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void hearsOfADrainSoonAfterItsWatchWasReset(String mode) throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(1));
+            bench.discovery.next().reply(200, bench.fullList(1));
             afterTaking(bench, 1).reset();
-            Peer.Message again = afterTaking(bench, 1);
-            again.reply(200, Bench.list(2, false, bench.entry(0, "terminating")));
+            StubServer.Message again = afterTaking(bench, 1);
+            again.reply(200, TestBench.listJson(2, false, bench.entry(0, "terminating")));
             afterTaking(bench, 2);
             assertServedBy(bench, 1);
         }
@@ -272,32 +274,32 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void hearsOfDrainsRightAfterAReload(String mode) throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer other = new Peer()) {
-            bench.mode = mode;
-            bench.at(port);
-            String config = bench.config(port, bench.all(1));
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(2); StubServer other = new StubServer()) {
+            bench.discoveryMode = mode;
+            bench.useProxyAt(port);
+            String config = bench.configJson(port, bench.fullList(1));
             Path file = Files.writeString(folder.resolve("config.json"), config);
             try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
-                bench.discovery.next().reply(200, bench.all(1));
+                bench.discovery.next().reply(200, bench.fullList(1));
                 afterTaking(bench, 1);
                 int[] index = {1};
                 int[] held = {1};
                 String[] at = {bench.discovery.address(), other.address()};
                 assertWithin(4_000, () -> {
                     String to = at[index[0] % 2];
-                    Peer service = to.equals(other.address()) ? other : bench.discovery;
+                    StubServer service = to.equals(other.address()) ? other : bench.discovery;
                     Files.writeString(file, config.replace(bench.discovery.address(), to));
                     proxy.signal("HUP");
-                    Peer.Message swallowed = service.next();
+                    StubServer.Message swallowed = service.next();
                     long reloaded = System.nanoTime();
                     assertAsksFrom(held[0], swallowed);
-                    Peer.Message again = service.next();
+                    StubServer.Message again = service.next();
                     assertAsksFrom(held[0], again);
-                    again.reply(200, bench.all(held[0] + 1));
+                    again.reply(200, bench.fullList(held[0] + 1));
                     held[0] += 2;
                     service.next().reply(200,
-                            Bench.list(held[0], false, bench.entry(0, "terminating")));
+                            TestBench.listJson(held[0], false, bench.entry(0, "terminating")));
                     service.next();
                     long tookMs = sinceMs(reloaded);
                     Program.await(20, proxy.lines::toString, () -> listens(bench));
@@ -309,7 +311,7 @@
         }
     }
 
-    private static void assertAsksFrom(int version, Peer.Message call) {
+    private static void assertAsksFrom(int version, StubServer.Message call) {
         assertTrue(call.line().contains("?index=" + version + "&"), call.line());
     }
 
@@ -318,25 +320,25 @@
     @CsvSource({"pushed,lower", "pushed,404", "on_request,lower", "on_request,404"})
     void asksForTheWholeListWhereTheVersionHeldIsNoneOfTheNewAddress(String mode, String how)
             throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer other = new Peer()) {
-            bench.mode = mode;
-            bench.at(port);
-            String config = bench.config(port, bench.all(7));
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(2); StubServer other = new StubServer()) {
+            bench.discoveryMode = mode;
+            bench.useProxyAt(port);
+            String config = bench.configJson(port, bench.fullList(7));
             Path file = Files.writeString(folder.resolve("config.json"), config);
             try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
-                bench.discovery.next().reply(200, Bench.list(7, false));
+                bench.discovery.next().reply(200, TestBench.listJson(7, false));
                 afterTaking(bench, 7);
                 Files.writeString(file, config.replace(bench.discovery.address(), other.address()));
                 proxy.signal("HUP");
-                Peer.Message first = other.next();
+                StubServer.Message first = other.next();
                 assertAsksFrom(7, first);
                 if (how.equals("lower")) {
-                    first.reply(200, Bench.list(3, false));
+                    first.reply(200, TestBench.listJson(3, false));
                 } else {
                     first.reply(Integer.parseInt(how), "");
                 }
-                Peer.Message whole = other.next();
+                StubServer.Message whole = other.next();
                 assertEquals("GET /registry/instances HTTP/1.1", whole.line());
                 whole.reply(200, drained(bench, 3));
                 assertAsksFrom(3, other.next());
@@ -346,7 +348,7 @@
         }
     }
 
-    private static boolean listens(Bench bench) {
+    private static boolean listens(TestBench bench) {
         try {
             return bench.client().send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
         } catch (java.io.IOException e) {
@@ -357,30 +359,30 @@
     /** Written over many lines, in pieces that break it anywhere. */
     @Test
     void takesAListThatIsIndented() throws Exception {
-        try (Bench bench = new Bench(2)) {
+        try (TestBench bench = new TestBench(2)) {
             bench.start(folder);
             sendIndented(bench.discovery.next(), drained(bench, 2));
-            sendIndented(afterTaking(bench, 2), Bench.list(3, false, bench.entry(1, "terminating"),
+            sendIndented(afterTaking(bench, 2), TestBench.listJson(3, false, bench.entry(1, "terminating"),
                     bench.entry(0, "in_service")));
             afterTaking(bench, 3);
             assertServedBy(bench, 0);
         }
     }
 
-    private static void sendIndented(Peer.Message call, String list) throws Exception {
+    private static void sendIndented(StubServer.Message call, String list) throws Exception {
         String text = list.replace("{", "{\r\n\t  ").replace("[", "[\n").replace(",", " ,\n    ")
                 .replace("\":", "\" :\t").replace("}", "\n  }").replace("]", "\n]\n");
-        call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n");
+        call.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n");
         int pieces = 20;
         for (int i = 0; i < pieces; i++) {
-            call.raw(text.substring(text.length() * i / pieces, text.length() * (i + 1) / pieces));
+            call.sendRaw(text.substring(text.length() * i / pieces, text.length() * (i + 1) / pieces));
         }
     }
 
     /** As a whole list, and as changes that take nearly all of them away again. */
     @Test
     void takesAListOfManyBackends() throws Exception {
-        try (Bench bench = new Bench(2)) {
+        try (TestBench bench = new TestBench(2)) {
             bench.start(folder);
             sendIndented(bench.discovery.next(), many(bench, 2, true, "in_service"));
             sendIndented(afterTaking(bench, 2), many(bench, 3, false, "terminating"));
@@ -390,12 +392,12 @@
     }
 
     /** The second backend, and under many names the first, of the given status. */
-    private static String many(Bench bench, int index, boolean whole, String status) {
+    private static String many(TestBench bench, int index, boolean whole, String status) {
         String[] entries = new String[MANY + 1];
         for (int i = 0; i < MANY; i++) {
-            entries[i] = Bench.entry("many-" + i, bench.backends.get(0).address(), status);
+            entries[i] = TestBench.entry("many-" + i, bench.backends.get(0).address(), status);
         }
         entries[MANY] = bench.entry(1, "in_service");
-        return Bench.list(index, whole, entries);
+        return TestBench.listJson(index, whole, entries);
     }
 }
--- a/src/test/java/larkworks/proxy/FailOverTest.java
+++ b/src/test/java/larkworks/proxy/FailOverTest.java
@@ -19,36 +19,36 @@
     @TempDir
     Path folder;
 
-    private static void assertWatches(long index, Peer.Message call) {
+    private static void assertWatches(long index, StubServer.Message call) {
         assertTrue(call.line().startsWith("GET /registry/instances?index=" + index + "&wait="), call.line());
     }
 
     @Test
     void aWatchGoesOnAtAnotherReplicaFromTheVersionHeld() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+        try (StubServer second = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(second);
             bench.start(folder);
-            Peer.Message call = bench.discovery.next();
+            StubServer.Message call = bench.discovery.next();
             assertWatches(1, call);
-            call.reply(200, bench.all(7), EPOCH);
+            call.reply(200, bench.fullList(7), EPOCH);
             call = bench.discovery.next();
             assertWatches(7, call);
             call.reset();
             call = second.next();
             assertWatches(7, call);
-            call.reply(200, Bench.list(9, false, bench.entry(0, "terminating")), EPOCH);
+            call.reply(200, TestBench.listJson(9, false, bench.entry(0, "terminating")), EPOCH);
             assertWatches(9, second.next());
         }
     }
 
     @Test
     void theWholeListIsWantedOnceAllReplicasRefuseTheVersionHeld() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+        try (StubServer second = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(second);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH);
+            bench.discovery.next().reply(200, bench.fullList(7), EPOCH);
             bench.discovery.next().reply(503, "{}");
-            Peer.Message call = second.next();
+            StubServer.Message call = second.next();
             assertWatches(7, call);
             call.reset();  // no word on the version
             call = bench.discovery.next();
@@ -60,10 +60,10 @@
 
     @Test
     void servicesThatTellNoEpochAreAskedForTheWholeList() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+        try (StubServer second = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(second);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7));
+            bench.discovery.next().reply(200, bench.fullList(7));
             bench.discovery.next().reset();
             assertEquals(WHOLE, second.next().line());
         }
@@ -71,26 +71,26 @@
 
     @Test
     void aReplicaThatHearsNoLeaderIsLeftForAnother() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+        try (StubServer second = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(second);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH, "X-Registry-Stale: true");
-            Peer.Message call = second.next();
+            bench.discovery.next().reply(200, bench.fullList(7), EPOCH, "X-Registry-Stale: true");
+            StubServer.Message call = second.next();
             assertWatches(7, call);
-            assertEquals(0, bench.discovery.waiting(), "no watch there fell silent first");
-            call.reply(200, Bench.list(8, false, bench.entry(0, "terminating")), EPOCH);
+            assertEquals(0, bench.discovery.pendingMessages(), "no watch there fell silent first");
+            call.reply(200, TestBench.listJson(8, false, bench.entry(0, "terminating")), EPOCH);
             assertWatches(8, second.next());
         }
     }
 
     @Test
     void changesOfAnotherEpochAreNotTaken() throws Exception {
-        try (Peer second = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(second);
+        try (StubServer second = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(second);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH);
+            bench.discovery.next().reply(200, bench.fullList(7), EPOCH);
             bench.discovery.next().reset();
-            second.next().reply(200, Bench.list(9, false), "X-Registry-Epoch: two");
+            second.next().reply(200, TestBench.listJson(9, false), "X-Registry-Epoch: two");
             assertEquals(WHOLE, bench.discovery.next().line());
         }
     }
--- a/src/test/java/larkworks/proxy/Hanging.java
+++ b/src/test/java/larkworks/proxy/FullBacklogServer.java
@@ -9,16 +9,16 @@
 import java.util.List;
 
 /** A backend whose accept queue is full, so that connecting to it blocks until the test calls accept. */
-final class Hanging implements AutoCloseable {
+final class FullBacklogServer implements AutoCloseable {
 
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-    private final List<Socket> fillers = new ArrayList<>();
+    private final List<Socket> queueFillers = new ArrayList<>();
 
     /** Fills the accept queue: the kernel then drops new SYNs, and the peer repeats them after 1 s. */
-    Hanging() throws IOException {
-        listener.setSoTimeout((int) Peer.LIMIT_S * 1000);
+    FullBacklogServer() throws IOException {
+        listener.setSoTimeout((int) StubServer.TIMEOUT_S * 1000);
         for (int i = 0; i < 2; i++) {
-            fillers.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
+            queueFillers.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
         }
     }
 
@@ -28,15 +28,15 @@
 
     /** Empties the accept queue and returns the first connection that was blocked by it. */
     Socket accept() throws IOException {
-        while (!fillers.isEmpty()) {
+        while (!queueFillers.isEmpty()) {
             listener.accept().close();
-            fillers.remove(0).close();
+            queueFillers.remove(0).close();
         }
         return listener.accept();
     }
 
     /** Returns whether no byte has been received on the connection. */
-    static boolean silent(Socket socket) throws IOException {
+    static boolean hasReceivedNothing(Socket socket) throws IOException {
         socket.setSoTimeout(1);
         try {
             return socket.getInputStream().read() < 0;
@@ -47,7 +47,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Socket socket : fillers) {
+        for (Socket socket : queueFillers) {
             socket.close();
         }
         listener.close();
--- a/src/test/java/larkworks/proxy/HealthProbesTest.java
+++ b/src/test/java/larkworks/proxy/HealthProbesTest.java
@@ -28,12 +28,12 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
-    private Peer backend;
+    private StubServer backend;
     private HealthProbes probes;
 
     @BeforeEach
     void open() throws Exception {
-        backend = new Peer();
+        backend = new StubServer();
         Sockets sockets = new Sockets(64, 0);
         BackendPool pool = new BackendPool(loop, sockets, 5_000_000, 10_000_000);
         sockets.evictors(pool::evict);
@@ -52,7 +52,7 @@
     }
 
     private Heard next() throws InterruptedException {
-        return heard.poll(Peer.LIMIT_S, TimeUnit.SECONDS);
+        return heard.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Test
--- a/src/test/java/larkworks/proxy/LargeFleetTest.java
+++ b/src/test/java/larkworks/proxy/LargeFleetTest.java
@@ -26,29 +26,29 @@
     @TempDir
     Path folder;
 
-    private static String address(Bench bench, int server) {
+    private static String address(TestBench bench, int server) {
         return bench.backends.get(server % LISTENERS).address();
     }
 
     /** Has requests served, one after the other, all of them by this listener; -1 for any. */
-    private static void serve(Bench bench, int listener) throws Exception {
+    private static void serve(TestBench bench, int listener) throws Exception {
         for (int i = 0; i < REQUESTS; i++) {
-            int by = bench.served();
+            int by = bench.serveOneRequest();
             assertTrue(listener < 0 || by == listener, "served by " + by);
         }
     }
 
     @Test
     void servesAmongAThousandServersAndPeersTakesChangesToAllAndDrains() throws Exception {
-        try (Bench bench = new Bench(LISTENERS)) {
-            int admin = Bench.freePort();
+        try (TestBench bench = new TestBench(LISTENERS)) {
+            int admin = TestBench.freePort();
             bench.copies = SIZE;
-            bench.more = LargeFleet.membership(SIZE, 0, Bench.HOST + ":" + Bench.freePort());
-            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR",
+            bench.extraConfig = LargeFleet.membership(SIZE, 0, TestBench.HOST + ":" + TestBench.freePort());
+            bench.environment = Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + admin, "TMPDIR",
                     folder.toString());
-            CompletableFuture<Peer.Message> told = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<StubServer.Message> told = CompletableFuture.supplyAsync(() -> {
                 try {
-                    Peer.Message asked = bench.discovery.next();
+                    StubServer.Message asked = bench.discovery.next();
                     asked.reply(200, LargeFleet.list(2, true, SIZE, i -> address(bench, i),
                             i -> "in_service"));
                     return bench.discovery.next();
@@ -57,7 +57,7 @@
                 }
             });
             bench.start(folder, LargeFleet.list(1, true, SIZE, i -> address(bench, i), i -> "in_service"));
-            Peer.Message watch = told.get(Peer.LIMIT_S, TimeUnit.SECONDS);
+            StubServer.Message watch = told.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(watch.line().contains("?index=2&"), watch.line());
             assertEquals(SIZE, members(admin), "each peer has its row");
             serve(bench, -1);
@@ -76,17 +76,17 @@
             assertTrue(watch.line().contains("?index=4&"), watch.line());
             serve(bench, 7);
 
-            Bench.Client client = bench.client().look("in flight");
-            Peer.Message sent = bench.backends.get(7).next();
-            CompletableFuture<Void> ended = bench.end();
+            TestBench.Client client = bench.client().sendLook("in flight");
+            StubServer.Message sent = bench.backends.get(7).next();
+            CompletableFuture<Void> ended = bench.beginShutdown();
             sent.reply(200, "finished");
             assertEquals("finished", client.answer().text());
-            ended.get(Peer.LIMIT_S, TimeUnit.SECONDS);
+            ended.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
     private static int members(int admin) throws Exception {
-        try (var in = URI.create("http://" + Bench.HOST + ":" + admin + "/ops/members").toURL()
+        try (var in = URI.create("http://" + TestBench.HOST + ":" + admin + "/ops/members").toURL()
                 .openStream()) {
             return ((List<?>) Json.object(in.readAllBytes()).get("members")).size();
         }
--- a/src/test/java/larkworks/proxy/MemoryExperiment.java
+++ b/src/test/java/larkworks/proxy/MemoryExperiment.java
@@ -48,18 +48,19 @@
         backend.start();
         String address = "127.0.0.1:" + backend.getAddress().getPort();
         Path folder = Files.createTempDirectory("memory");
-        try (Bench bench = new Bench(0)) {
-            int port = Bench.freePort();
+        try (TestBench bench = new TestBench(0)) {
+            int port = TestBench.freePort();
             bench.copies = Math.max(3, size);
-            bench.more = members ? LargeFleet.membership(size, 0, Bench.HOST + ":" + Bench.freePort()) : "";
-            Path config = Files.writeString(folder.resolve("config.json"), bench.config(port,
+            bench.extraConfig = members
+                    ? LargeFleet.membership(size, 0, TestBench.HOST + ":" + TestBench.freePort()) : "";
+            Path config = Files.writeString(folder.resolve("config.json"), bench.configJson(port,
                     LargeFleet.list(1, true, size, i -> address, i -> "in_service")));
             try (RunCommand run = new RunCommand("", config, folder, Map.of())) {
-                bench.at(port);
-                Peer.Message asked = bench.discovery.next();
+                bench.useProxyAt(port);
+                StubServer.Message asked = bench.discovery.next();
                 asked.reply(200, LargeFleet.list(2, true, size, i -> address, i -> "in_service"));
                 asked = bench.discovery.next();
-                Bench.Client client = connect(port);
+                TestBench.Client client = connect(port);
                 Program.await(30, () -> "not ready", () -> status(client,
                         "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200);
                 tell(size, members, "idle", run);
@@ -80,21 +81,21 @@
         backend.stop(0);
     }
 
-    private static Bench.Client connect(int port) throws Exception {
+    private static TestBench.Client connect(int port) throws Exception {
         Socket[] socket = new Socket[1];
         Program.await(30, () -> "nobody listens", () -> {
             try {
-                socket[0] = new Socket(InetAddress.getByName(Bench.HOST), port);
+                socket[0] = new Socket(InetAddress.getByName(TestBench.HOST), port);
                 socket[0].setSoTimeout(30_000);
                 return true;
             } catch (java.io.IOException e) {
                 return false;
             }
         });
-        return new Bench.Client(socket[0], socket[0].getInputStream());
+        return new TestBench.Client(socket[0], socket[0].getInputStream());
     }
 
-    private static int status(Bench.Client client, String call) {
+    private static int status(TestBench.Client client, String call) {
         try {
             return client.send(call).status();
         } catch (java.io.IOException e) {
--- a/src/test/java/larkworks/proxy/MetricsTest.java
+++ b/src/test/java/larkworks/proxy/MetricsTest.java
@@ -27,24 +27,24 @@
     Path folder;
 
     private Map<String, String> environment(int admin) {
-        return Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + admin, "TMPDIR", folder.toString());
+        return Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + admin, "TMPDIR", folder.toString());
     }
 
     @Test
     void tellsRequestsAttemptsAndListsInPrometheusText() throws Exception {
-        int admin = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
-            bench.more = "\"metrics\":{\"enabled\":true},";
+        int admin = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
+            bench.extraConfig = "\"metrics\":{\"enabled\":true},";
             bench.environment = environment(admin);
-            bench.list(bench.all(7));
-            bench.start(folder, bench.all(7));
+            bench.answerDiscoveryWith(bench.fullList(7));
+            bench.start(folder, bench.fullList(7));
             for (int i = 0; i < 3; i++) {
-                Bench.Client client = bench.client().look("r" + i);
+                TestBench.Client client = bench.client().sendLook("r" + i);
                 bench.backends.get(0).next().reply(i == 2 ? 500 : 200, "");
                 client.status();
             }
             String text;
-            URI metrics = URI.create("http://" + Bench.HOST + ":" + admin + "/metrics");
+            URI metrics = URI.create("http://" + TestBench.HOST + ":" + admin + "/metrics");
             try (var in = metrics.toURL().openStream()) {
                 text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
             }
@@ -86,12 +86,12 @@
 
     @Test
     void isAbsentUnlessAskedFor() throws Exception {
-        int admin = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
+        int admin = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
             bench.environment = environment(admin);
-            bench.list(bench.all(7));
-            bench.start(folder, bench.all(7));
-            assertEquals(404, Bench.call(admin, "GET", "/metrics", ""));
+            bench.answerDiscoveryWith(bench.fullList(7));
+            bench.start(folder, bench.fullList(7));
+            assertEquals(404, TestBench.callAdmin(admin, "GET", "/metrics", ""));
         }
     }
 }
--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -24,7 +24,7 @@
     @TempDir
     Path folder;
 
-    private Bench bench;
+    private TestBench bench;
     private Program service;
     private Program proxy;
     private TcpRelay relay;
@@ -32,7 +32,7 @@
 
     @BeforeEach
     void prepare() throws Exception {
-        bench = new Bench(2);
+        bench = new TestBench(2);
         service("data");
         relay = new TcpRelay(address());
         register(0);
@@ -41,14 +41,14 @@
     /** Starts the proxy while the service is out of reach; then it is back, and serves as the list says. */
     private void start(String discovery) throws Exception {
         // What is known from before names the second backend only.
-        String known = Bench.list(9, true, bench.entry(1, "in_service"));
-        bench.at(Bench.freePort());
-        Path config = Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), known)
+        String known = TestBench.listJson(9, true, bench.entry(1, "in_service"));
+        bench.useProxyAt(TestBench.freePort());
+        Path config = Files.writeString(folder.resolve("config.json"), bench.configJson(bench.port(), known)
                 .replace('"' + bench.discovery.address() + '"', discovery));
         relay.refuse(true);
         proxy = new Program("", Map.of("GW_CONFIG", config.toString()), "proxy");
         Program.await(20, proxy.lines::toString, () -> relay.refused.get() > 2);
-        assertEquals(1, bench.served(), "from what is known, as the service is down at the start");
+        assertEquals(1, bench.serveOneRequest(), "from what is known, as the service is down at the start");
         relay.refuse(false);
         awaitServedBy(0);
     }
@@ -79,7 +79,7 @@
         int[] row = {0};
         Program.await(15, proxy.lines::toString, () -> {
             try {
-                row[0] = bench.served() == backend ? row[0] + 1 : 0;
+                row[0] = bench.serveOneRequest() == backend ? row[0] + 1 : 0;
                 return row[0] == 5;
             } catch (Exception e) {
                 throw new IllegalStateException(e);
@@ -95,12 +95,12 @@
         int before = relay.refused.get();
         // Several attempts with growing pauses: the outage lasts well past the longest.
         Program.await(30, proxy.lines::toString, () -> relay.refused.get() >= before + 7);
-        assertEquals(0, bench.served());
+        assertEquals(0, bench.serveOneRequest());
         service("data");
         relay.target(address());
         caller.status("b0", "terminating");
         register(1);
-        assertEquals(0, bench.served(), "not told yet");
+        assertEquals(0, bench.serveOneRequest(), "not told yet");
         relay.refuse(false);
         awaitServedBy(1);
     }
@@ -127,7 +127,7 @@
         relay.refuse(false);
         awaitServedBy(1);
         for (int i = 0; i < 10; i++) {
-            assertEquals(1, bench.served(), "b0 stands in no list of this service");
+            assertEquals(1, bench.serveOneRequest(), "b0 stands in no list of this service");
         }
         assertTrue(proxy.lines.toString().contains("do not follow the list held"), proxy.lines::toString);
     }
--- a/src/test/java/larkworks/proxy/PendingRequestsTest.java
+++ b/src/test/java/larkworks/proxy/PendingRequestsTest.java
@@ -29,13 +29,13 @@
 class PendingRequestsTest {
 
     /** Records the answers that the driver gives, and the deliveries to notify once an answer is written. */
-    private static final class Answers implements Driver.Client {
-        private final List<String> given = new ArrayList<>();
-        private final List<Driver.Delivery> writing = new ArrayList<>();
+    private static final class RecordingClient implements Driver.Client {
+        private final List<String> answers = new ArrayList<>();
+        private final List<Driver.Delivery> deliveries = new ArrayList<>();
 
-        private void add(String answer, Driver.Delivery delivery) {
-            given.add(answer);
-            writing.add(delivery);
+        private void record(String answer, Driver.Delivery delivery) {
+            answers.add(answer);
+            deliveries.add(delivery);
         }
 
         @Override
@@ -45,7 +45,7 @@
 
         @Override
         public void served(byte[] body, String type, Driver.Delivery delivery) {
-            add("served", delivery);
+            record("served", delivery);
         }
 
         @Override
@@ -56,12 +56,12 @@
 
         @Override
         public void refused(long retryAfterUs, Driver.Delivery delivery) {
-            add("refused", delivery);
+            record("refused", delivery);
         }
 
         @Override
         public void failed(Driver.Delivery delivery) {
-            add("failed", delivery);
+            record("failed", delivery);
         }
     }
 
@@ -72,15 +72,15 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Clock clock = new Clock();
-    private final Answers answers = new Answers();
-    private Bench bench;
+    private final RecordingClient client = new RecordingClient();
+    private TestBench bench;
     private Driver driver;
     private Sockets sockets;
 
     @BeforeEach
-    void open() throws Exception {
-        bench = new Bench(1);
-        Path file = Files.writeString(folder.resolve("config.json"), bench.config(0, bench.all(1)));
+    void createDriver() throws Exception {
+        bench = new TestBench(1);
+        Path file = Files.writeString(folder.resolve("config.json"), bench.configJson(0, bench.fullList(1)));
         Config config = Config.read(file.toString(), Map.of(), Map.of());
         sockets = new Sockets(64, 0);
         BackendPool pool = new BackendPool(loop, sockets, config.connectTimeoutUs(), config.keepAliveUs());
@@ -94,8 +94,8 @@
         bench.close();
     }
 
-    private <T> T onLoop(Callable<T> step) throws Exception {
-        return loop.submit(step).get();
+    private <T> T onLoop(Callable<T> task) throws Exception {
+        return loop.submit(task).get();
     }
 
     /** Adds the only backend to the driver's list; with a null address no attempt to it can begin. */
@@ -108,52 +108,52 @@
         });
     }
 
-    private PendingRequest take(long timeLeftUs) throws Exception {
+    private PendingRequest accept(long timeLeftUs) throws Exception {
         return onLoop(() -> driver.request(new Driver.Inbound("r1", HttpMethod.GET, "/look", null,
-                new byte[0], null, null, 0, 0, timeLeftUs, 0, false, clock.nowUs()), answers));
+                new byte[0], null, null, 0, 0, timeLeftUs, 0, false, clock.nowUs()), client));
     }
 
     private void awaitAnswer() throws Exception {
-        long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
-        while (onLoop(answers.given::isEmpty)) {
-            assertTrue(System.nanoTime() < until, "no answer was given");
+        long timeoutAtNs = System.nanoTime() + StubServer.TIMEOUT_S * 1_000_000_000L;
+        while (onLoop(client.answers::isEmpty)) {
+            assertTrue(System.nanoTime() < timeoutAtNs, "the driver gave no answer");
             Thread.sleep(1);
         }
     }
 
     @Test
-    void aRequestEndsOnlyOnceItsAnswerIsWritten() throws Exception {
+    void requestCompletesOnlyOnceItsAnswerIsWritten() throws Exception {
         listBackend(Config.address(bench.backends.get(0).address()));
-        take(20_000_000);
+        accept(20_000_000);
         bench.backends.get(0).next().reply(200, "whole");
         awaitAnswer();
-        assertEquals(List.of("served"), onLoop(() -> List.copyOf(answers.given)));
+        assertEquals(List.of("served"), onLoop(() -> List.copyOf(client.answers)));
         assertEquals(false, onLoop(driver::isIdle), "the request completed before its answer was written");
         onLoop(() -> {
-            answers.writing.get(0).ended(true);
+            client.deliveries.get(0).ended(true);
             return null;
         });
         assertTrue(onLoop(driver::isIdle));
     }
 
     @Test
-    void aRequestEndsWhereItsAttemptCannotBegin() throws Exception {
+    void requestCompletesIfItsAttemptCannotBegin() throws Exception {
         listBackend(null);
-        take(300_000);
+        accept(300_000);
         awaitAnswer();
         onLoop(() -> {
-            answers.writing.get(0).ended(true);
+            client.deliveries.get(0).ended(true);
             return null;
         });
-        assertEquals(1, onLoop(answers.given::size));
+        assertEquals(1, onLoop(client.answers::size));
         assertTrue(onLoop(driver::isIdle), "the request is still pending for an attempt that never began");
         assertEquals(0, onLoop(sockets::open), "a socket that was never opened is counted");
     }
 
     @Test
-    void aRequestWithoutAnAnswerIsOverdueOnceItsDeadlineHasPassed() throws Exception {
+    void unansweredRequestIsPastDeadlineOnceItHasPassed() throws Exception {
         listBackend(Config.address(bench.backends.get(0).address()));
-        PendingRequest pending = take(20_000_000);
+        PendingRequest pending = accept(20_000_000);
         bench.backends.get(0).next();
         assertEquals(false, pending.isPastDeadline(pending.deadlineUs));
         assertTrue(pending.isPastDeadline(pending.deadlineUs + 1));
@@ -166,13 +166,13 @@
     }
 
     @Test
-    void aRequestIsAnsweredBeforeItIsOverdueWhereItsBackendIsSilent() throws Exception {
+    void requestIsAnsweredBeforeItsDeadlineIfBackendIsSilent() throws Exception {
         listBackend(Config.address(bench.backends.get(0).address()));
-        PendingRequest pending = take(300_000);
+        PendingRequest pending = accept(300_000);
         bench.backends.get(0).next();
         awaitAnswer();
         assertTrue(onLoop(() -> driver.overdue().isEmpty()));
-        assertEquals(List.of("failed"), onLoop(() -> List.copyOf(answers.given)));
+        assertEquals(List.of("failed"), onLoop(() -> List.copyOf(client.answers)));
         assertTrue(onLoop(pending::isAnswered));
     }
 }
--- a/src/test/java/larkworks/proxy/ProcessTest.java
+++ b/src/test/java/larkworks/proxy/ProcessTest.java
@@ -37,29 +37,29 @@
 
     @Test
     void finishesWhatItHasTakenAfterSigterm() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
-            bench.at(port);
-            Process process = start(bench.config(port, bench.all(1)));
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
+            bench.useProxyAt(port);
+            Process process = start(bench.configJson(port, bench.fullList(1)));
             try {
-                Bench.Client probe = connect(bench);
-                Bench.Client client = bench.client().look("in flight");
-                Peer.Message sent = bench.backends.get(0).next();
+                TestBench.Client probe = connect(bench);
+                TestBench.Client client = bench.client().sendLook("in flight");
+                StubServer.Message sent = bench.backends.get(0).next();
 
                 process.destroy();
                 while (ready(probe) == 200) {
                     // Until the signal has arrived; the answer that says so also ends the connection.
                     Thread.onSpinWait();
                 }
-                Bench.Client late = bench.client().look("late");
-                Peer.Message lateSent = bench.backends.get(0).next();
+                TestBench.Client late = bench.client().sendLook("late");
+                StubServer.Message lateSent = bench.backends.get(0).next();
                 lateSent.reply(200, "late too");
-                Peer.Message lateAnswer = late.answer();
+                StubServer.Message lateAnswer = late.answer();
                 assertEquals("late too", lateAnswer.text());
                 assertEquals("close", lateAnswer.header("Connection"));
                 sent.reply(200, "finished");
                 assertEquals("finished", client.answer().text());
-                assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
             }
@@ -67,32 +67,32 @@
     }
 
     /** A process whose classes have that deadline, which sets how soon SIGKILL may come. */
-    private Process startWithDeadline(Bench bench, int port, long ms) throws IOException {
-        bench.at(port);
-        return start(bench.config(port, bench.all(1)).replace("2000000,", "500000,")
+    private Process startWithDeadline(TestBench bench, int port, long ms) throws IOException {
+        bench.useProxyAt(port);
+        return start(bench.configJson(port, bench.fullList(1)).replace("2000000,", "500000,")
                 .replace("30000000,\"worth", ms + "000,\"worth"));
     }
 
     @Test
     void endsNotBeforeTheLastRequestIsDueThoughItsBackendHangs() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
             Process process = startWithDeadline(bench, port, 1_000);
             try {
-                Bench.Client probe = connect(bench);
-                Bench.Client client = bench.client();
+                TestBench.Client probe = connect(bench);
+                TestBench.Client client = bench.client();
                 process.destroy();
                 while (ready(probe) == 200) {
                     Thread.onSpinWait();
                 }
                 // Due 1.5 s after the longest deadline: no request that came within 0.7 s is due later than
                 // the earliest SIGKILL, but one may well be due later than 0.5 s before it.
-                client.look("hung", 2_500);
+                client.sendLook("hung", 2_500);
                 bench.backends.get(0).next();
-                Peer.Message answer = client.answer();
+                StubServer.Message answer = client.answer();
                 assertNotNull(answer, "the process ended first");
                 assertEquals(502, Integer.parseInt(answer.line().split(" ")[1]));
-                assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
             }
@@ -101,21 +101,21 @@
 
     @Test
     void answersBeforeTheEarliestSigkillWhatCameWholeOnlyAfterTheListenerClosed() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
             Process process = startWithDeadline(bench, port, 1_000);
             try {
                 connect(bench).socket().close();
-                Bench.Client half = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
-                Bench.Client silent = bench.client();
+                TestBench.Client half = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
+                TestBench.Client silent = bench.client();
                 process.destroy();
                 // A connection that stays open would be sent to until SIGKILL.
                 assertNull(silent.answer());
                 half.send("X-Call-Id: late\r\nX-Call-Class: look\r\nX-Budget-Ms: 20000\r\n\r\n");
-                Peer.Message answer = half.answer();
+                StubServer.Message answer = half.answer();
                 assertNotNull(answer, "the process ended first");
                 assertTrue(answer.line().startsWith("HTTP/1.1 50"), answer.line());
-                assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
             }
@@ -124,15 +124,15 @@
 
     @Test
     void finishesWhatItHasTakenWhateverSignalsComeTogether() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
-            bench.at(port);
-            Process process = start(bench.config(port, bench.all(1)));
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
+            bench.useProxyAt(port);
+            Process process = start(bench.configJson(port, bench.fullList(1)));
             try {
                 connect(bench).socket().close();
-                Bench.Client client = bench.client().look("in flight");
-                Peer.Message sent = bench.backends.get(0).next();
-                Bench.Client half = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
+                TestBench.Client client = bench.client().sendLook("in flight");
+                StubServer.Message sent = bench.backends.get(0).next();
+                TestBench.Client half = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
                 hangUp(process);
                 process.destroy();
                 process.destroy();
@@ -142,7 +142,7 @@
                 half.send("X-Call-Id: half\r\nX-Call-Class: look\r\n\r\n");
                 bench.backends.get(0).next().reply(200, "whole");
                 assertEquals("whole", half.answer().text());
-                assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
             }
@@ -151,14 +151,14 @@
 
     @Test
     void turnsToAnotherDiscoveryAtSighupAndOutlivesABadConfiguration() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer other = new Peer()) {
-            bench.at(port);
-            String config = bench.config(port, "null");
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(2); StubServer other = new StubServer()) {
+            bench.useProxyAt(port);
+            String config = bench.configJson(port, "null");
             Process process = start(config);
             try {
-                bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
-                Peer.Message watch = bench.discovery.next();
+                bench.discovery.next().reply(200, TestBench.listJson(7, true, bench.entry(0, "in_service")));
+                StubServer.Message watch = bench.discovery.next();
                 connect(bench);
 
                 Files.writeString(folder.resolve("config.json"), "{\"discovery\":\"nowhere\"}");
@@ -167,13 +167,13 @@
                 Files.writeString(folder.resolve("config.json"),
                         config.replace(bench.discovery.address(), other.address()));
                 hangUp(process);
-                Peer.Message asked = other.next();
+                StubServer.Message asked = other.next();
                 assertTrue(asked.line().startsWith("GET /registry/instances?index=7&"), asked.line());
-                watch.awaitEnd();
-                asked.reply(200, Bench.list(3, true, bench.entry(1, "in_service")));
+                watch.awaitConnectionEnd();
+                asked.reply(200, TestBench.listJson(3, true, bench.entry(1, "in_service")));
                 assertTrue(other.next().line().contains("?index=3&"));
 
-                Bench.Client client = bench.client().look("r");
+                TestBench.Client client = bench.client().sendLook("r");
                 bench.backends.get(1).next().reply(200, "moved");
                 assertEquals("moved", client.answer().text());
                 assertTrue(process.isAlive());
@@ -186,37 +186,37 @@
     /** Moved, and moved back before the new address has answered: what it says later counts no more. */
     @Test
     void turnsBackToTheOldDiscoveryWhileTheOtherHasNotAnswered() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer other = new Peer()) {
-            bench.at(port);
-            String config = bench.config(port, "null");
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(2); StubServer other = new StubServer()) {
+            bench.useProxyAt(port);
+            String config = bench.configJson(port, "null");
             Process process = start(config);
             try {
-                bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
-                Peer.Message watch = bench.discovery.next();
+                bench.discovery.next().reply(200, TestBench.listJson(7, true, bench.entry(0, "in_service")));
+                StubServer.Message watch = bench.discovery.next();
                 connect(bench);
 
                 Files.writeString(folder.resolve("config.json"),
                         config.replace(bench.discovery.address(), other.address()));
                 hangUp(process);
-                Peer.Message asked = other.next();
-                watch.awaitEnd();
+                StubServer.Message asked = other.next();
+                watch.awaitConnectionEnd();
                 Files.writeString(folder.resolve("config.json"), config);
                 hangUp(process);
-                Peer.Message again = bench.discovery.next();
+                StubServer.Message again = bench.discovery.next();
                 assertTrue(again.line().startsWith("GET /registry/instances?index=7&"), again.line());
                 // By now it has turned back; an answer before that would have counted.
-                asked.awaitEnd();
+                asked.awaitConnectionEnd();
                 try {
-                    asked.reply(200, Bench.list(8, true, bench.entry(1, "in_service")));
+                    asked.reply(200, TestBench.listJson(8, true, bench.entry(1, "in_service")));
                 } catch (UncheckedIOException e) {
                     // The connection is closed already.
                 }
-                assertEquals(0, bench.served(), "the list held stays in force");
-                again.reply(200, Bench.list(9, true, bench.entry(0, "in_service")));
+                assertEquals(0, bench.serveOneRequest(), "the list held stays in force");
+                again.reply(200, TestBench.listJson(9, true, bench.entry(0, "in_service")));
                 assertTrue(bench.discovery.next().line().contains("?index=9&"));
-                assertEquals(0, bench.served());
-                assertEquals(0, other.waiting());
+                assertEquals(0, bench.serveOneRequest());
+                assertEquals(0, other.pendingMessages());
             } finally {
                 process.destroyForcibly();
             }
@@ -237,16 +237,16 @@
         assertEquals(1, said.lines().count(), said);
     }
 
-    private static int ready(Bench.Client client) throws IOException {
+    private static int ready(TestBench.Client client) throws IOException {
         return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
 
     /** Connects as soon as the process listens and is ready. */
-    private static Bench.Client connect(Bench bench) throws Exception {
-        long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
+    private static TestBench.Client connect(TestBench bench) throws Exception {
+        long until = System.nanoTime() + StubServer.TIMEOUT_S * 1_000_000_000L;
         while (true) {
             try {
-                Bench.Client client = bench.client();
+                TestBench.Client client = bench.client();
                 while (ready(client) != 200) {
                     Thread.onSpinWait();
                 }
--- a/src/test/java/larkworks/proxy/ProxyFleet.java
+++ b/src/test/java/larkworks/proxy/ProxyFleet.java
@@ -46,7 +46,7 @@
         this.folder = folder;
         List<InetSocketAddress> backs = new ArrayList<>();
         while (backs.size() < size) {
-            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName(Bench.HOST))) {
+            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName(TestBench.HOST))) {
                 InetSocketAddress back = (InetSocketAddress) free.getLocalSocketAddress();
                 if (!backs.contains(back)) {
                     backs.add(back);
@@ -54,7 +54,7 @@
             }
         }
         relay = new UdpRelay(backs);
-        String discovery = "127.0.0.1:" + Bench.freePort();
+        String discovery = "127.0.0.1:" + TestBench.freePort();
         this.discovery = discovery;
         startService();
         registry = new Caller(discovery);
@@ -62,14 +62,14 @@
         for (int i = 0; i < size; i++) {
             peers.add(quoted(relay.front(i)));
         }
-        try (Bench bench = new Bench(0)) {
+        try (TestBench bench = new TestBench(0)) {
             for (int i = 0; i < size; i++) {
                 ports.add(port());
                 admins.add(port());
-                bench.more = "\"peer_listen\":" + quoted(backs.get(i)) + ",\"peers\":" + peers
+                bench.extraConfig = "\"peer_listen\":" + quoted(backs.get(i)) + ",\"peers\":" + peers
                         + ",\"peers_all\":" + quoted(relay.everyone()) + ",\"member\":" + i + "," + tables;
                 configs.add(Files.writeString(folder.resolve("proxy" + i + ".json"),
-                        bench.config(ports.get(i), "null")
+                        bench.configJson(ports.get(i), "null")
                                 .replace("\"name\":\"n0\"", "\"name\":\"n" + i + "\"")
                                 .replace('"' + bench.discovery.address() + '"', '"' + discovery + '"')
                                 .replace("\"coldUs\":1000000", "\"coldUs\":" + coldUs)));
@@ -80,9 +80,9 @@
 
     /** A free port, no other's here: the system gives one twice among a hundred, once it is closed again. */
     private int port() throws IOException {
-        int port = Bench.freePort();
+        int port = TestBench.freePort();
         while (ports.contains(port) || admins.contains(port)) {
-            port = Bench.freePort();
+            port = TestBench.freePort();
         }
         return port;
     }
@@ -102,7 +102,7 @@
     void start(int i) throws Exception {
         Path own = Files.createDirectories(folder.resolve("tmp" + i));
         proxies.set(i, new Program("", Map.of("GW_CONFIG", configs.get(i).toString(), "GW_ADMIN_ADDR",
-                Bench.HOST + ":" + admins.get(i), "TMPDIR", own.toString()), "proxy"));
+                TestBench.HOST + ":" + admins.get(i), "TMPDIR", own.toString()), "proxy"));
     }
 
     /** Starts all, and waits until each is ready. */
@@ -153,10 +153,11 @@
     }
 
     private int ask(int proxy, String call) {
-        try (java.net.Socket socket = new java.net.Socket(InetAddress.getByName(Bench.HOST),
+        try (java.net.Socket socket = new java.net.Socket(InetAddress.getByName(TestBench.HOST),
                 ports.get(proxy))) {
             socket.setSoTimeout(10_000);
-            Peer.Message answer = new Bench.Client(socket, socket.getInputStream()).send(call).answer();
+            StubServer.Message answer = new TestBench.Client(socket,
+                    socket.getInputStream()).send(call).answer();
             return answer == null ? -1 : Integer.parseInt(answer.line().split(" ")[1]);
         } catch (IOException e) {
             return -1;
@@ -171,7 +172,7 @@
 
     /** What a proxy's second address shows; empty where it does not answer. */
     Map<?, ?> table(int proxy, String path) {
-        try (var in = URI.create("http://" + Bench.HOST + ":" + admins.get(proxy) + path).toURL()
+        try (var in = URI.create("http://" + TestBench.HOST + ":" + admins.get(proxy) + path).toURL()
                 .openStream()) {
             return Json.object(in.readAllBytes());
         } catch (IOException e) {
--- a/src/test/java/larkworks/proxy/ProxyMembersTest.java
+++ b/src/test/java/larkworks/proxy/ProxyMembersTest.java
@@ -29,7 +29,7 @@
 
     /** What a process holds of a member; a process that does not answer yet holds nothing. */
     private String held(int by, int about) {
-        try (var in = URI.create("http://" + Bench.HOST + ":" + admins.get(by) + "/ops/members").toURL()
+        try (var in = URI.create("http://" + TestBench.HOST + ":" + admins.get(by) + "/ops/members").toURL()
                 .openStream()) {
             Map<?, ?> table = Json.object(in.readAllBytes());
             assertEquals(by, table.get("self"));
@@ -43,23 +43,23 @@
     void proxiesSeeEachOtherLeaveAndDie() throws Exception {
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName(Bench.HOST))) {
-                peers.add('"' + Bench.HOST + ":" + free.getLocalPort() + '"');
+            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName(TestBench.HOST))) {
+                peers.add('"' + TestBench.HOST + ":" + free.getLocalPort() + '"');
             }
         }
         List<Process> processes = new ArrayList<>();
-        try (Bench bench = new Bench(1)) {
+        try (TestBench bench = new TestBench(1)) {
             for (int i = 0; i < 4; i++) {
-                bench.more = "\"peer_listen\":" + peers.get(i) + ",\"peers\":" + peers
+                bench.extraConfig = "\"peer_listen\":" + peers.get(i) + ",\"peers\":" + peers
                         + ",\"membership\":{\"probe_interval_ms\":200,\"probe_timeout_ms\":80},";
                 Path file = Files.writeString(folder.resolve(i + ".json"),
-                        bench.config(Bench.freePort(), bench.all(1)));
-                admins.add(Bench.freePort());
+                        bench.configJson(TestBench.freePort(), bench.fullList(1)));
+                admins.add(TestBench.freePort());
                 ProcessBuilder builder = new ProcessBuilder("java", "-XX:+UseSerialGC", "-Xmx40m", "-cp",
                         System.getProperty("java.class.path"), "larkworks.cli.Larkworks", "proxy")
                         .redirectError(folder.resolve(i + ".log").toFile());
                 builder.environment().putAll(Map.of("GW_CONFIG", file.toString(), "GW_ADMIN_ADDR",
-                        Bench.HOST + ":" + admins.get(i), "TMPDIR", folder.toString()));
+                        TestBench.HOST + ":" + admins.get(i), "TMPDIR", folder.toString()));
                 processes.add(builder.start());
             }
             await(() -> List.of(0, 1, 2, 3).stream().allMatch(i -> held(i, 3).equals("alive")));
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -28,24 +28,24 @@
     Path folder;
 
     @Test
-    void passesARequestOnAndItsAnswerBackUnchanged() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
+    void forwardsRequestAndAnswerUnchanged() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
             String body = "a=1\r\n\r\n\u00ff\u0000z";
-            Bench.Client client = bench.client();
+            TestBench.Client client = bench.client();
             client.send("POST /pay/7?x=%20y&z HTTP/1.1\r\nHost: x\r\nX-Call-Id: 9b1f\r\nX-Call-Class: pay\r\n"
                     + "X-Caller: acme\r\nX-Budget-Ms: 20000\r\nIdempotency-Key: 5c0f\r\nContent-Length: "
                     + body.length() + "\r\n\r\n" + body);
 
-            Peer.Message sent = bench.backends.get(0).next();
-            assertEquals("POST /pay/7?x=%20y&z HTTP/1.1", sent.line());
-            assertEquals("9b1f", sent.header("X-Call-Id"));
-            assertEquals("5c0f", sent.header("Idempotency-Key"));
-            assertArrayEquals(body.getBytes(StandardCharsets.ISO_8859_1), sent.body());
-            long budget = Long.parseLong(sent.header("X-Budget-Ms"));
-            assertTrue(budget > 0 && budget <= 20_000, "budget " + budget);
+            StubServer.Message request = bench.backends.get(0).next();
+            assertEquals("POST /pay/7?x=%20y&z HTTP/1.1", request.line());
+            assertEquals("9b1f", request.header("X-Call-Id"));
+            assertEquals("5c0f", request.header("Idempotency-Key"));
+            assertArrayEquals(body.getBytes(StandardCharsets.ISO_8859_1), request.body());
+            long budgetMs = Long.parseLong(request.header("X-Budget-Ms"));
+            assertTrue(budgetMs > 0 && budgetMs <= 20_000, "budget in ms: " + budgetMs);
 
-            sent.reply(200, "the answer", "Content-Type: text/x");
-            Peer.Message answer = client.answer();
+            request.reply(200, "the answer", "Content-Type: text/x");
+            StubServer.Message answer = client.answer();
             assertEquals("HTTP/1.1 200 OK", answer.line());
             assertEquals("the answer", answer.text());
             assertEquals("text/x", answer.header("Content-Type"));
@@ -53,25 +53,25 @@
     }
 
     @Test
-    void aBodyInChunksGoesOnWhole() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client();
+    void forwardsChunkedBodyWhole() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client();
             client.send("POST /act HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1\r\nX-Call-Class: act\r\n"
                     + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n");
             client.send("0\r\n\r\n");
-            Peer.Message sent = bench.backends.get(0).next();
-            assertEquals("abcde", sent.text());
-            sent.reply(200, "");
+            StubServer.Message request = bench.backends.get(0).next();
+            assertEquals("abcde", request.text());
+            request.reply(200, "");
             assertEquals(200, client.status());
         }
     }
 
     @Test
-    void keepsConnectionsOnBothSides() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client();
+    void reusesClientAndBackendConnections() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client();
             for (int i = 0; i < 3; i++) {
-                client.look("r" + i);
+                client.sendLook("r" + i);
                 bench.backends.get(0).next().reply(200, "answer " + i);
                 assertEquals("answer " + i, client.answer().text());
                 BackendPoolTest.letRest();
@@ -82,29 +82,29 @@
 
     @Test
     void answersPipelinedRequestsInOrder() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client().look("a").look("b");
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client().sendLook("a").sendLook("b");
             for (String id : List.of("a", "b")) {
-                Peer.Message sent = bench.backends.get(0).next();
-                assertEquals(id, sent.header("X-Call-Id"));
-                assertEquals(0, bench.backends.get(0).waiting());
-                sent.reply(200, id);
+                StubServer.Message request = bench.backends.get(0).next();
+                assertEquals(id, request.header("X-Call-Id"));
+                assertEquals(0, bench.backends.get(0).pendingMessages());
+                request.reply(200, id);
                 assertEquals(id, client.answer().text());
             }
         }
     }
 
     @Test
-    void sendsNothingOnAConnectionThatTheBackendHasClosed() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client().look("a");
-            Peer.Message sent = bench.backends.get(0).next();
-            sent.reply(200, "");
+    void doesNotReuseConnectionClosedByBackend() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client().sendLook("a");
+            StubServer.Message request = bench.backends.get(0).next();
+            request.reply(200, "");
             assertEquals(200, client.status());
-            sent.socket().shutdownOutput();
-            sent.awaitEnd();
+            request.socket().shutdownOutput();
+            request.awaitConnectionEnd();
 
-            client.look("b");
+            client.sendLook("b");
             bench.backends.get(0).next().reply(200, "fresh");
             assertEquals("fresh", client.answer().text());
             assertEquals(2, bench.backends.get(0).connections());
@@ -112,63 +112,64 @@
     }
 
     @Test
-    void closesAnIdleConnectionBeforeTheBackendWould() throws Exception {
-        try (Bench bench = new Bench(1)) {
+    void closesIdleBackendConnectionAfterKeepAlive() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
             bench.keepAliveUs = 200_000;
             bench.start(folder);
-            Bench.Client client = bench.client().look("a");
-            Peer.Message sent = bench.backends.get(0).next();
-            sent.reply(200, "");
+            TestBench.Client client = bench.client().sendLook("a");
+            StubServer.Message request = bench.backends.get(0).next();
+            request.reply(200, "");
             assertEquals(200, client.status());
-            sent.awaitEnd();
+            request.awaitConnectionEnd();
         }
     }
 
     @Test
-    void usesNoConnectionThatTheBackendWillClose() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client().look("a");
-            Peer.Message sent = bench.backends.get(0).next();
-            sent.reply(200, "", "Connection: close");
+    void closesBackendConnectionAfterConnectionCloseHeader() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client().sendLook("a");
+            StubServer.Message request = bench.backends.get(0).next();
+            request.reply(200, "", "Connection: close");
             assertEquals(200, client.status());
-            sent.awaitEnd();
+            request.awaitConnectionEnd();
         }
     }
 
     /** An unsafe request that the backend may have run must fail: it is neither repeated nor refused. */
     @ParameterizedTest
     @ValueSource(strings = {"500", "503", "504", "404", "302", "reset", "end", "cut", "nonsense", "large"})
-    void failsAnUnsafeRequestThatMayHaveRun(String what) throws Exception {
-        try (Bench bench = new Bench(2).start(folder)) {
-            Bench.Client client = bench.client().post("act", "r", "x");
-            Peer.Message sent = first(bench);
-            switch (what) {
-                case "reset" -> sent.reset();
-                case "end" -> sent.socket().close();
+    void failsUnsafeRequestThatMayHaveRun(String failure) throws Exception {
+        try (TestBench bench = new TestBench(2).start(folder)) {
+            TestBench.Client client = bench.client().sendPost("act", "r", "x");
+            StubServer.Message request = nextRequest(bench);
+            switch (failure) {
+                case "reset" -> request.reset();
+                case "end" -> request.socket().close();
                 case "cut" -> {
-                    sent.raw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-                    sent.socket().close();
+                    request.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+                    request.socket().close();
                 }
-                case "nonsense" -> sent.raw("what is this\r\n\r\n");
-                case "large" -> sent.raw("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n");
-                default -> sent.reply(Integer.parseInt(what), "");
+                case "nonsense" -> request.sendRaw("what is this\r\n\r\n");
+                case "large" -> request.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n");
+                default -> request.reply(Integer.parseInt(failure), "");
             }
             assertEquals(502, client.status());
-            assertEquals(0, bench.backends.get(0).waiting() + bench.backends.get(1).waiting());
+            assertEquals(0, bench.backends.get(0).pendingMessages()
+                    + bench.backends.get(1).pendingMessages());
         }
     }
 
     /** An unsafe request that provably did not run goes to the other backend; if both fail it is refused. */
     @ParameterizedTest
     @ValueSource(ints = {503, 504})
-    void sendsAnUnsafeRequestOnceMoreWhereItProvedNotToHaveRun(int status) throws Exception {
-        try (Bench bench = new Bench(2).start(folder)) {
-            Bench.Client client = bench.client().post("act", "r", "x");
+    void retriesUnsafeRequestOnceIfItDidNotRun(int status) throws Exception {
+        try (TestBench bench = new TestBench(2).start(folder)) {
+            TestBench.Client client = bench.client().sendPost("act", "r", "x");
             Set<Integer> ports = new HashSet<>();
             for (int i = 0; i < 2; i++) {
-                Peer.Message sent = first(bench);
-                ports.add(sent.socket().getLocalPort());
-                sent.reply(status, "", "X-Rejected: 1");
+                StubServer.Message request = nextRequest(bench);
+                ports.add(request.socket().getLocalPort());
+                request.reply(status, "", "X-Rejected: 1");
             }
             assertEquals(2, ports.size());
             assertEquals(503, client.status());
@@ -180,56 +181,57 @@
      * backends were ejected, and valid requests were then refused.
      */
     @Test
-    void failsWhatABackendCallsABadRequestAndHoldsItAgainstNobody() throws Exception {
-        try (Bench bench = new Bench(2).start(folder)) {
-            Bench.Client forger = bench.client();
+    void failsRequestOnBackendStatus400WithoutEjectingBackends() throws Exception {
+        try (TestBench bench = new TestBench(2).start(folder)) {
+            TestBench.Client copyingClient = bench.client();
             for (int i = 0; i < 20; i++) {
-                forger.look("forged");
-                first(bench).reply(400, "");
-                assertEquals(502, forger.status());
-                assertEquals(0, bench.backends.get(0).waiting() + bench.backends.get(1).waiting());
+                copyingClient.sendLook("forged");
+                nextRequest(bench).reply(400, "");
+                assertEquals(502, copyingClient.status());
+                assertEquals(0, bench.backends.get(0).pendingMessages()
+                        + bench.backends.get(1).pendingMessages());
             }
-            Bench.Client client = bench.client();
+            TestBench.Client client = bench.client();
             for (int i = 0; i < 20; i++) {
-                client.look("good " + i);
-                first(bench).reply(200, "good " + i);
+                client.sendLook("good " + i);
+                nextRequest(bench).reply(200, "good " + i);
                 assertEquals("good " + i, client.answer().text());
             }
         }
     }
 
     @Test
-    void refusesARequestWhenNoBackendTakesConnections() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
+    void refusesRequestWhenNoBackendAcceptsConnections() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
             bench.backends.get(0).close();
-            assertEquals(503, bench.client().post("act", "r", "x").status());
+            assertEquals(503, bench.client().sendPost("act", "r", "x").status());
         }
     }
 
     @Test
-    void sendsASafeRequestElsewhereAfterAReset() throws Exception {
-        try (Bench bench = new Bench(2).start(folder)) {
-            Bench.Client client = bench.client().look("r");
-            first(bench).reset();
-            first(bench).reply(200, "second");
+    void retriesSafeRequestAtOtherBackendAfterReset() throws Exception {
+        try (TestBench bench = new TestBench(2).start(folder)) {
+            TestBench.Client client = bench.client().sendLook("r");
+            nextRequest(bench).reset();
+            nextRequest(bench).reply(200, "second");
             assertEquals("second", client.answer().text());
         }
     }
 
     /** At the deadline the client gets one failure; the backend's late answer is dropped. */
     @Test
-    void failsARequestShortlyBeforeItsClientGivesUpAndOnlyOnce() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client();
-            long start = System.nanoTime();
-            client.look("slow", 600);
-            Peer.Message slow = bench.backends.get(0).next();
+    void failsRequestOnceShortlyBeforeItsDeadline() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client();
+            long startNs = System.nanoTime();
+            client.sendLook("slow", 600);
+            StubServer.Message slowRequest = bench.backends.get(0).next();
             assertEquals(502, client.status());
-            assertTrue(System.nanoTime() - start > 300_000_000L, "failed long before its deadline");
-            slow.awaitEnd();
-            slow.raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+            assertTrue(System.nanoTime() - startNs > 300_000_000L, "failed long before its deadline");
+            slowRequest.awaitConnectionEnd();
+            slowRequest.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
 
-            client.look("next");
+            client.sendLook("next");
             bench.backends.get(0).next().reply(200, "next");
             assertEquals("next", client.answer().text());
         }
@@ -240,56 +242,59 @@
      * which may assign a server to it. The proxy must not send it, and must report the server as free.
      */
     @Test
-    void aCallAnsweredShortlyBeforeItsEndIsNotSentAnyMore() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client().look("slow");
-            Peer.Message slow = bench.backends.get(0).next();
+    void doesNotSendRequestAnsweredShortlyBeforeItsDeadline() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client().sendLook("slow");
+            StubServer.Message slowRequest = bench.backends.get(0).next();
             Thread.sleep(200);
-            slow.reply(200, "");
+            slowRequest.reply(200, "");
             assertEquals(200, client.status());
-            client.look("long");
-            Peer.Message busy = bench.backends.get(0).next();
-            assertEquals(502, bench.client().look("held", 300).status());
-            busy.reply(200, "");
+            client.sendLook("long");
+            StubServer.Message longRequest = bench.backends.get(0).next();
+            assertEquals(502, bench.client().sendLook("held", 300).status());
+            longRequest.reply(200, "");
             assertEquals(200, client.status());
 
-            client.look("next", 500);
+            client.sendLook("next", 500);
             bench.backends.get(0).next().reply(200, "");
             assertEquals(200, client.status(), "the decision module does not know that the server is idle");
         }
     }
 
     @Test
-    void closesTheAttemptOfAClientThatHasGone() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client().look("r");
-            Peer.Message sent = bench.backends.get(0).next();
+    void closesAttemptWhenClientDisconnects() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client().sendLook("r");
+            StubServer.Message request = bench.backends.get(0).next();
             client.socket().close();
-            sent.awaitEnd();
-            assertEquals(0, bench.backends.get(0).waiting());
+            request.awaitConnectionEnd();
+            assertEquals(0, bench.backends.get(0).pendingMessages());
         }
     }
 
     /** The connect takes longer than the drain's grace period, so the backend must get no request. */
     @Test
-    void sendsNothingToABackendThatBeganToDrainDuringTheConnect() throws Exception {
-        try (Bench bench = new Bench(0); Hanging backend = new Hanging()) {
+    void sendsNothingToBackendThatBeganToDrainDuringConnect() throws Exception {
+        try (TestBench bench = new TestBench(0); FullBacklogServer backend = new FullBacklogServer()) {
             bench.drainGraceUs = 0;
             bench.connectTimeoutUs = 25_000_000;
-            String up = Bench.list(1, true, Bench.entry("b", backend.address(), "in_service"));
-            bench.start(folder, up);
-            bench.discovery.next().reply(200, up);
-            Peer.Message watch = bench.discovery.next();
-            Bench.Client client = bench.client().look("r");
-            Bench.Client ready = bench.client();
-            assertEquals(200, ready(ready));
-            watch.reply(200, Bench.list(2, false, Bench.entry("b", backend.address(), "terminating")));
+            String inService = TestBench.listJson(1, true,
+                    TestBench.entry("b", backend.address(), "in_service"));
+            bench.start(folder, inService);
+            bench.discovery.next().reply(200, inService);
+            StubServer.Message watch = bench.discovery.next();
+            TestBench.Client client = bench.client().sendLook("r");
+            TestBench.Client readinessClient = bench.client();
+            assertEquals(200, readinessStatus(readinessClient));
+            watch.reply(200, TestBench.listJson(2, false,
+                    TestBench.entry("b", backend.address(), "terminating")));
             bench.discovery.next();
-            assertEquals(503, ready(ready));
+            assertEquals(503, readinessStatus(readinessClient));
 
-            Socket late = backend.accept();
+            Socket connection = backend.accept();
             assertEquals(503, client.status());
-            assertTrue(Hanging.silent(late), "a byte came");
+            assertTrue(FullBacklogServer.hasReceivedNothing(connection),
+                    "the draining backend received a byte");
         }
     }
 
@@ -298,173 +303,176 @@
      * time at which the list was up to date, not from when the proxy receives the new list.
      */
     @Test
-    void sendsNothingToABackendWhoseDrainWasMissedForAsLongAsItsGrace() throws Exception {
-        try (Bench bench = new Bench(0); Hanging backend = new Hanging()) {
+    void sendsNothingToBackendWhoseDrainWasMissedForItsGracePeriod() throws Exception {
+        try (TestBench bench = new TestBench(0); FullBacklogServer backend = new FullBacklogServer()) {
             bench.connectTimeoutUs = 25_000_000;
             bench.drainGraceUs = 2_000_000;
-            String up = Bench.list(1, true, Bench.entry("b", backend.address(), "in_service"));
-            bench.start(folder, up);
-            bench.discovery.next().reply(200, up);
-            Peer.Message watch = bench.discovery.next();
-            Bench.Client client = bench.client().look("r");
-            bench.settle();
+            String inService = TestBench.listJson(1, true,
+                    TestBench.entry("b", backend.address(), "in_service"));
+            bench.start(folder, inService);
+            bench.discovery.next().reply(200, inService);
+            StubServer.Message watch = bench.discovery.next();
+            TestBench.Client client = bench.client().sendLook("r");
+            bench.awaitInputProcessed();
             watch.reply(503, "");
-            Peer.Message again = bench.discovery.next();
+            StubServer.Message retry = bench.discovery.next();
             // The kernel repeats the connect's SYN after 1 s and 3 s. At 3 s a grace period that counts from
             // the failure is over; one that counts from the new list is not.
             Thread.sleep(2_500);
-            again.reply(200, Bench.list(2, true, Bench.entry("b", backend.address(), "terminating")));
+            retry.reply(200, TestBench.listJson(2, true,
+                    TestBench.entry("b", backend.address(), "terminating")));
             bench.discovery.next();
 
-            Socket late = backend.accept();
+            Socket connection = backend.accept();
             assertEquals(503, client.status());
-            assertTrue(Hanging.silent(late), "a byte came");
+            assertTrue(FullBacklogServer.hasReceivedNothing(connection),
+                    "the draining backend received a byte");
         }
     }
 
     /** A drain that begins as discovery recovers must be received within its grace period. */
     @Test
-    void asksADiscoveryThatIsDownMoreOftenThanTheGraceOfDrainsLasts() throws Exception {
-        try (Bench bench = new Bench(1)) {
+    void retriesFailedDiscoveryWithinDrainGracePeriod() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
             bench.drainGraceUs = 500_000;
             bench.start(folder);
-            Peer.Message call = bench.discovery.next();
+            StubServer.Message call = bench.discovery.next();
             List<Long> pausesMs = new ArrayList<>();
             for (int i = 0; i < 11; i++) {
-                long failedAt = System.nanoTime();
+                long failedAtNs = System.nanoTime();
                 call.reply(503, "");
                 call = bench.discovery.next();
-                pausesMs.add((System.nanoTime() - failedAt) / 1_000_000);
+                pausesMs.add((System.nanoTime() - failedAtNs) / 1_000_000);
             }
             // The pauses stop growing by the sixth; the median tolerates two of five that the machine delays.
-            long usual = pausesMs.subList(6, 11).stream().sorted().toList().get(2);
-            assertTrue(usual < 500, "asked again only after " + pausesMs);
+            long medianMs = pausesMs.subList(6, 11).stream().sorted().toList().get(2);
+            assertTrue(medianMs < 500, "pauses between calls to discovery in ms: " + pausesMs);
         }
     }
 
     @Test
-    void keepsTheOldListThroughAnOutageOfDiscoveryAndWatchesAgain() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.start(folder, Bench.list(1, true));
+    void keepsListDuringDiscoveryOutageAndWatchesAgain() throws Exception {
+        try (TestBench bench = new TestBench(2)) {
+            bench.start(folder, TestBench.listJson(1, true));
             assertEquals("GET /registry/instances HTTP/1.1", bench.discovery.next().line());
-            assertEquals(503, ready(bench.client()));
+            assertEquals(503, readinessStatus(bench.client()));
             bench.discovery.close();
         }
-        try (Bench bench = new Bench(2)) {
-            String one = Bench.list(7, true, bench.entry(0, "in_service"));
+        try (TestBench bench = new TestBench(2)) {
+            String firstList = TestBench.listJson(7, true, bench.entry(0, "in_service"));
             bench.start(folder, "null");
-            bench.discovery.next().reply(200, one);
-            Peer.Message watch = bench.discovery.next();
+            bench.discovery.next().reply(200, firstList);
+            StubServer.Message watch = bench.discovery.next();
             assertTrue(watch.line().startsWith("GET /registry/instances?index=7&wait="), watch.line());
-            assertEquals(200, ready(bench.client()));
+            assertEquals(200, readinessStatus(bench.client()));
 
             watch.reply(503, "");
             bench.discovery.next().reset();
-            Peer.Message again = bench.discovery.next();
-            assertTrue(again.line().contains("index=7"), again.line());
-            serve(bench, 0);
-            again.reply(200, "[nonsense");
-            Peer.Message whole = bench.discovery.next();
-            assertEquals("GET /registry/instances HTTP/1.1", whole.line());
-            serve(bench, 0);
-            whole.reply(200, Bench.list(9, true, bench.entry(1, "in_service")));
-            Peer.Message next = bench.discovery.next();
-            assertTrue(next.line().contains("index=9"), next.line());
-            serve(bench, 1);
-            next.reply(200, Bench.list(10, false, bench.entry(1, "terminated"),
+            StubServer.Message retry = bench.discovery.next();
+            assertTrue(retry.line().contains("index=7"), retry.line());
+            assertServedBy(bench, 0);
+            retry.reply(200, "[nonsense");
+            StubServer.Message fullListCall = bench.discovery.next();
+            assertEquals("GET /registry/instances HTTP/1.1", fullListCall.line());
+            assertServedBy(bench, 0);
+            fullListCall.reply(200, TestBench.listJson(9, true, bench.entry(1, "in_service")));
+            StubServer.Message nextWatch = bench.discovery.next();
+            assertTrue(nextWatch.line().contains("index=9"), nextWatch.line());
+            assertServedBy(bench, 1);
+            nextWatch.reply(200, TestBench.listJson(10, false, bench.entry(1, "terminated"),
                     bench.entry(0, "in_service")));
             bench.discovery.next();
-            serve(bench, 0);
+            assertServedBy(bench, 0);
         }
     }
 
     @Test
-    void takesAListThatComesSlowlyButSteadily() throws Exception {
-        try (Bench bench = new Bench(1)) {
+    void acceptsListReceivedSlowlyButSteadily() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
             bench.start(folder, "null");
-            Peer.Message asked = bench.discovery.next();
-            String list = bench.all(7);
-            asked.raw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
+            StubServer.Message call = bench.discovery.next();
+            String list = bench.fullList(7);
+            call.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
             for (int i = 0; i < 5; i++) {
                 Thread.sleep(350);
-                asked.raw(list.substring(list.length() * i / 5, list.length() * (i + 1) / 5));
+                call.sendRaw(list.substring(list.length() * i / 5, list.length() * (i + 1) / 5));
             }
             assertTrue(bench.discovery.next().line().contains("?index=7&"), "the list was not applied");
-            serve(bench, 0);
+            assertServedBy(bench, 0);
         }
     }
 
     /** A list that is truncated or stalls half-way must not be applied in part, nor block the next call. */
     @ParameterizedTest
     @ValueSource(strings = {"ends", "stops", "cut", "more"})
-    void takesNoListInPartAndAsksAnew(String how) throws Exception {
-        try (Bench bench = new Bench(2)) {
+    void requestsListAgainAfterIncompleteResponse(String defect) throws Exception {
+        try (TestBench bench = new TestBench(2)) {
             bench.start(folder, "null");
-            bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
-            Peer.Message watch = bench.discovery.next();
-            String changes = Bench.list(8, true, bench.entry(1, "in_service"));
-            String half = changes.substring(0, changes.length() / 2);
-            switch (how) {
-                case "cut" -> watch.reply(200, half);
+            bench.discovery.next().reply(200, TestBench.listJson(7, true, bench.entry(0, "in_service")));
+            StubServer.Message watch = bench.discovery.next();
+            String changes = TestBench.listJson(8, true, bench.entry(1, "in_service"));
+            String firstHalf = changes.substring(0, changes.length() / 2);
+            switch (defect) {
+                case "cut" -> watch.reply(200, firstHalf);
                 case "more" -> watch.reply(200, changes + changes);
-                default -> watch.raw("HTTP/1.1 200 OK\r\nContent-Length: " + changes.length()
-                        + "\r\n\r\n" + half);
+                default -> watch.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + changes.length()
+                        + "\r\n\r\n" + firstHalf);
             }
-            long from = System.nanoTime();
-            if (how.equals("ends")) {
+            long startNs = System.nanoTime();
+            if (defect.equals("ends")) {
                 watch.socket().close();
             }
-            Peer.Message again = bench.discovery.next();
-            assertTrue(System.nanoTime() - from < 2_500_000_000L, "the next call came too late");
-            serve(bench, 0);
-            again.reply(200, Bench.list(9, true, bench.entry(1, "in_service")));
+            StubServer.Message retry = bench.discovery.next();
+            assertTrue(System.nanoTime() - startNs < 2_500_000_000L, "the next call came too late");
+            assertServedBy(bench, 0);
+            retry.reply(200, TestBench.listJson(9, true, bench.entry(1, "in_service")));
             bench.discovery.next();
-            serve(bench, 1);
+            assertServedBy(bench, 1);
         }
     }
 
     @Test
-    void asksDiscoveryAgainWhereListsAreNotPushed() throws Exception {
-        try (Bench bench = new Bench(1)) {
-            bench.mode = "on_request";
+    void watchesDiscoveryInOnRequestMode() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
+            bench.discoveryMode = "on_request";
             bench.start(folder);
             bench.discovery.next().reply(503, "");
-            bench.discovery.next().reply(200, bench.all(3));
-            Peer.Message watch = bench.discovery.next();
+            bench.discovery.next().reply(200, bench.fullList(3));
+            StubServer.Message watch = bench.discovery.next();
             assertTrue(watch.line().contains("index=3"), watch.line());
-            watch.reply(200, Bench.list(3, false));
-            Peer.Message next = bench.discovery.next();
-            assertTrue(next.line().contains("index=3"), next.line());
-            serve(bench, 0);
+            watch.reply(200, TestBench.listJson(3, false));
+            StubServer.Message nextWatch = bench.discovery.next();
+            assertTrue(nextWatch.line().contains("index=3"), nextWatch.line());
+            assertServedBy(bench, 0);
         }
     }
 
     /** Changes that a silent watch misses count as notified after 6 s; a new watch must be open by then. */
     @Test
-    void aWatchWaitsNoLongerThanItsSilenceMayTake() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            bench.discovery.next().reply(200, bench.all(1));
+    void watchWaitStaysBelowNotificationLimit() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            bench.discovery.next().reply(200, bench.fullList(1));
             String watch = bench.discovery.next().line();
-            long wait = Long.parseLong(watch.replaceFirst(".*&wait=([0-9]+) .*", "$1"));
-            long silence = 2_000;
-            long pause = 460;
-            assertTrue(wait + silence + pause < 6_000, watch);
+            long waitMs = Long.parseLong(watch.replaceFirst(".*&wait=([0-9]+) .*", "$1"));
+            long silenceTimeoutMs = 2_000;
+            long retryPauseMs = 460;
+            assertTrue(waitMs + silenceTimeoutMs + retryPauseMs < 6_000, watch);
         }
     }
 
     /** The pause that follows a failure must not apply: changes missed in it would count as notified. */
     @Test
-    void opensASilentWatchAnewAtOnceWhereListsAreNotPushed() throws Exception {
-        try (Bench bench = new Bench(1)) {
-            bench.mode = "on_request";
+    void reopensSilentWatchAtOnceInOnRequestMode() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
+            bench.discoveryMode = "on_request";
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(3));
-            Peer.Message silent = bench.discovery.next();
-            silent.awaitEnd();
-            long from = System.nanoTime();
+            bench.discovery.next().reply(200, bench.fullList(3));
+            StubServer.Message silentWatch = bench.discovery.next();
+            silentWatch.awaitConnectionEnd();
+            long startNs = System.nanoTime();
             assertTrue(bench.discovery.next().line().contains("index=3"));
-            long pauseMs = (System.nanoTime() - from) / 1_000_000;
-            assertTrue(pauseMs < 900, "opened anew after " + pauseMs + " ms");
+            long pauseMs = (System.nanoTime() - startNs) / 1_000_000;
+            assertTrue(pauseMs < 900, "reopened after " + pauseMs + " ms");
         }
     }
 
@@ -473,157 +481,161 @@
      * in between as notified.
      */
     @Test
-    void asksNotAgainWithinTheTimeThatAWatchGoesOn() throws Exception {
-        try (Bench bench = new Bench(1)) {
-            bench.mode = "on_request";
+    void doesNotRetryWhileFailedWatchCountsAsOpen() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
+            bench.discoveryMode = "on_request";
             bench.start(folder);
-            Peer.Message call = bench.discovery.next();
+            StubServer.Message call = bench.discovery.next();
             for (int i = 0; i < 12; i++) {
-                long failedAt = System.nanoTime();
+                long failedAtNs = System.nanoTime();
                 call.reply(503, "");
                 call = bench.discovery.next();
-                long pauseMs = (System.nanoTime() - failedAt) / 1_000_000;
-                assertTrue(pauseMs > 900, "asked again after " + pauseMs + " ms");
+                long pauseMs = (System.nanoTime() - failedAtNs) / 1_000_000;
+                assertTrue(pauseMs > 900, "retried after " + pauseMs + " ms");
                 // A received list resets the pause to its initial length.
-                call.reply(200, bench.all(i + 1));
+                call.reply(200, bench.fullList(i + 1));
                 call = bench.discovery.next();
             }
         }
     }
 
     @Test
-    void probesBeforeItSendsWhereThatIsAllowed() throws Exception {
-        try (Bench bench = new Bench(1)) {
-            bench.probes = true;
+    void probesBackendBeforeSendingIfProbesEnabled() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
+            bench.probesEnabled = true;
             bench.start(folder);
-            Bench.Client client = bench.client().look("r");
-            Peer.Message message = bench.backends.get(0).next();
-            assertEquals("GET /stats HTTP/1.1", message.line());
-            assertNull(message.header("X-Call-Id"));
-            message.reply(200, "inflight=0,queue=0,util=0.1");
-            Peer.Message sent = bench.backends.get(0).next();
-            while (sent.line().startsWith("GET /stats")) {
-                sent.reply(200, "inflight=0,queue=0,util=0.1");
-                sent = bench.backends.get(0).next();
+            TestBench.Client client = bench.client().sendLook("r");
+            StubServer.Message probe = bench.backends.get(0).next();
+            assertEquals("GET /stats HTTP/1.1", probe.line());
+            assertNull(probe.header("X-Call-Id"));
+            probe.reply(200, "inflight=0,queue=0,util=0.1");
+            StubServer.Message request = bench.backends.get(0).next();
+            while (request.line().startsWith("GET /stats")) {
+                request.reply(200, "inflight=0,queue=0,util=0.1");
+                request = bench.backends.get(0).next();
             }
-            sent.reply(200, "served");
+            request.reply(200, "served");
             assertEquals("served", client.answer().text());
         }
     }
 
     @Test
-    void answersAtOnceWhatItCanNotTakeAndSendsNoneOfItOn() throws Exception {
-        String good = "Host: x\r\nX-Call-Id: 1\r\n";
-        List<List<String>> bad = List.of(
+    void rejectsInvalidRequestsWithoutForwardingThem() throws Exception {
+        String validHeaders = "Host: x\r\nX-Call-Id: 1\r\n";
+        List<List<String>> statusAndRequest = List.of(
                 List.of("400", "GET /look HTTP/1.1\r\nX-Call-Class: look\r\n\r\n"),
-                List.of("400", "GET /nosuch HTTP/1.1\r\n" + good + "X-Call-Class: nosuch\r\n\r\n"),
-                List.of("400", "GET * HTTP/1.1\r\n" + good + "\r\n"),
-                List.of("400", "GET /act HTTP/1.1\r\n" + good + "X-Call-Class: look\r\n\r\n"),
-                List.of("405", "GET /act HTTP/1.1\r\n" + good + "X-Call-Class: act\r\n\r\n"),
-                List.of("405", "POST /look HTTP/1.1\r\n" + good
+                List.of("400", "GET /nosuch HTTP/1.1\r\n" + validHeaders + "X-Call-Class: nosuch\r\n\r\n"),
+                List.of("400", "GET * HTTP/1.1\r\n" + validHeaders + "\r\n"),
+                List.of("400", "GET /act HTTP/1.1\r\n" + validHeaders + "X-Call-Class: look\r\n\r\n"),
+                List.of("405", "GET /act HTTP/1.1\r\n" + validHeaders + "X-Call-Class: act\r\n\r\n"),
+                List.of("405", "POST /look HTTP/1.1\r\n" + validHeaders
                         + "X-Call-Class: look\r\nContent-Length: 0\r\n\r\n"),
-                List.of("400", "POST /pay HTTP/1.1\r\n" + good
+                List.of("400", "POST /pay HTTP/1.1\r\n" + validHeaders
                         + "X-Call-Class: pay\r\nContent-Length: 0\r\n\r\n"),
-                List.of("400", "GET /look HTTP/1.1\r\n" + good
+                List.of("400", "GET /look HTTP/1.1\r\n" + validHeaders
                         + "X-Call-Class: look\r\nX-Budget-Ms: soon\r\n\r\n"),
-                List.of("400", "POST /act HTTP/1.1\r\n" + good
+                List.of("400", "POST /act HTTP/1.1\r\n" + validHeaders
                         + "X-Call-Class: act\r\nContent-Length: many\r\n\r\n"),
-                List.of("413", "POST /act HTTP/1.1\r\n" + good
+                List.of("413", "POST /act HTTP/1.1\r\n" + validHeaders
                         + "X-Call-Class: act\r\nContent-Length: 33554433\r\n\r\n"),
                 List.of("400", "nonsense\r\n\r\n"));
-        try (Bench bench = new Bench(1).start(folder)) {
-            for (List<String> request : bad) {
-                Bench.Client client = bench.client().send(request.get(1));
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            for (List<String> request : statusAndRequest) {
+                TestBench.Client client = bench.client().send(request.get(1));
                 assertEquals(request.get(0), String.valueOf(client.status()), request.get(1));
             }
             assertEquals(0, bench.backends.get(0).connections());
-            serve(bench, 0);
+            assertServedBy(bench, 0);
         }
     }
 
     /** Guards against idle connections that keep the descriptors which requests need. */
     @Test
-    void closesConnectionsOnWhichNoProperRequestComes() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            bench.discovery.next().reply(200, bench.all(1));
+    void closesUnprovenConnections() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            bench.discovery.next().reply(200, bench.fullList(1));
             bench.discovery.next();
-            Bench.Client proper = bench.client().look("r");
+            TestBench.Client proven = bench.client().sendLook("r");
             bench.backends.get(0).next().reply(200, "");
-            assertEquals(200, proper.status());
-            Bench.Client silent = bench.client();
-            Bench.Client curious = bench.client();
-            assertEquals(200, ready(curious));
-            Bench.Client partial = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1");
-            Bench.Client bodiless = bench.client().send("POST /act HTTP/1.1\r\nHost: x\r\nX-Call-Id: 2\r\n"
+            assertEquals(200, proven.status());
+            TestBench.Client silentClient = bench.client();
+            TestBench.Client readinessOnlyClient = bench.client();
+            assertEquals(200, readinessStatus(readinessOnlyClient));
+            TestBench.Client partialHeadClient =
+                    bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: 1");
+            TestBench.Client partialBodyClient =
+                    bench.client().send("POST /act HTTP/1.1\r\nHost: x\r\nX-Call-Id: 2\r\n"
                     + "X-Call-Class: act\r\nContent-Length: 10\r\n\r\nabc");
-            for (Bench.Client peer : List.of(silent, curious, partial, bodiless)) {
-                assertNull(peer.answer());
+            for (TestBench.Client client
+                    : List.of(silentClient, readinessOnlyClient, partialHeadClient, partialBodyClient)) {
+                assertNull(client.answer());
             }
-            assertEquals(200, ready(proper), "a client that has sent a valid request may pause for longer");
-            assertEquals(0, bench.backends.get(0).waiting());
+            assertEquals(200, readinessStatus(proven),
+                    "a client that has sent a valid request may pause for longer");
+            assertEquals(0, bench.backends.get(0).pendingMessages());
         }
     }
 
     @Test
-    void closesIdleConnectionsWhereDescriptorsRunShort() throws Exception {
-        try (Bench bench = new Bench(1)) {
-            bench.sockets = 24;
+    void closesIdleConnectionsWhenDescriptorsAreScarce() throws Exception {
+        try (TestBench bench = new TestBench(1)) {
+            bench.maxSockets = 24;
             bench.start(folder);
-            List<Bench.Client> clients = new ArrayList<>();
+            List<TestBench.Client> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                Bench.Client client = bench.client().look("r" + i);
+                TestBench.Client client = bench.client().sendLook("r" + i);
                 bench.backends.get(0).next().reply(200, "");
                 assertEquals(200, client.status());
                 clients.add(client);
             }
             assertNull(clients.get(0).answer(), "the connection that is idle for longest was not closed");
-            clients.get(39).look("last");
+            clients.get(39).sendLook("last");
             bench.backends.get(0).next().reply(200, "");
             assertEquals(200, clients.get(39).status());
         }
     }
 
     @Test
-    void isReadyOnlyWithABackend() throws Exception {
-        try (Bench bench = new Bench(1).start(folder, "null")) {
-            Bench.Client client = bench.client();
-            assertEquals(503, ready(client));
-            bench.discovery.next().reply(200, bench.all(1));
+    void isReadyOnlyWithBackend() throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder, "null")) {
+            TestBench.Client client = bench.client();
+            assertEquals(503, readinessStatus(client));
+            bench.discovery.next().reply(200, bench.fullList(1));
             bench.discovery.next();
-            assertEquals(200, ready(client));
+            assertEquals(200, readinessStatus(client));
             assertNotEquals(0, bench.discovery.connections());
         }
     }
 
-    /** Contents of a pushed list count as notified from the process's start, so readiness waits for it. */
+    /** A pushed list's contents count as notified from the process's start, so readiness waits for it. */
     @ParameterizedTest
     @ValueSource(ints = {200, 503})
-    void isReadyOnlyOnceAPushedListIsKnownOrCanNotBeHad(int status) throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
-            Bench.Client client = bench.client();
-            Peer.Message asked = bench.discovery.next();
-            assertEquals(503, ready(client));
-            asked.reply(status, status == 200 ? bench.all(2) : "");
+    void isReadyOnceListReceivedOrDiscoveryFailed(int status) throws Exception {
+        try (TestBench bench = new TestBench(1).start(folder)) {
+            TestBench.Client client = bench.client();
+            StubServer.Message call = bench.discovery.next();
+            assertEquals(503, readinessStatus(client));
+            call.reply(status, status == 200 ? bench.fullList(2) : "");
             bench.discovery.next();
-            assertEquals(200, ready(client));
+            assertEquals(200, readinessStatus(client));
         }
     }
 
-    private static int ready(Bench.Client client) throws Exception {
+    private static int readinessStatus(TestBench.Client client) throws Exception {
         return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
 
     /** Sends a request that the given backend must receive, and has it served. */
-    private static void serve(Bench bench, int backend) throws Exception {
-        Bench.Client client = bench.client().look("s");
-        Peer.Message sent = bench.backends.get(backend).next();
-        assertNotNull(sent.header("X-Call-Id"));
-        sent.reply(200, "served");
+    private static void assertServedBy(TestBench bench, int backend) throws Exception {
+        TestBench.Client client = bench.client().sendLook("s");
+        StubServer.Message request = bench.backends.get(backend).next();
+        assertNotNull(request.header("X-Call-Id"));
+        request.reply(200, "served");
         assertEquals("served", client.answer().text());
     }
 
     /** Returns the next request that any backend receives. */
-    private static Peer.Message first(Bench bench) throws Exception {
-        return bench.backends.get(bench.awaitBackend()).next();
+    private static StubServer.Message nextRequest(TestBench bench) throws Exception {
+        return bench.backends.get(bench.awaitBackendWithRequest()).next();
     }
 }
--- a/src/test/java/larkworks/proxy/ReadinessTest.java
+++ b/src/test/java/larkworks/proxy/ReadinessTest.java
@@ -20,9 +20,9 @@
     @TempDir
     Path folder;
 
-    private static void awaitReady(Bench bench) throws Exception {
-        Bench.Client client = bench.client();
-        Program.await((int) Peer.LIMIT_S, () -> "never ready", () -> {
+    private static void awaitReady(TestBench bench) throws Exception {
+        TestBench.Client client = bench.client();
+        Program.await((int) StubServer.TIMEOUT_S, () -> "never ready", () -> {
             try {
                 return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
             } catch (java.io.IOException e) {
@@ -34,9 +34,9 @@
     /** What is known from before serves; the call that never ends is given up and made anew. */
     @Test
     void isReadyWhereDiscoveryHangsForEverAndKeepsAskingIt() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
+        try (TestBench bench = new TestBench(1).start(folder)) {
             awaitReady(bench);
-            assertEquals(0, bench.served());
+            assertEquals(0, bench.serveOneRequest());
             for (int call = 0; call < 3; call++) {
                 String line = bench.discovery.next().line();
                 assertTrue(line.startsWith("GET /registry/instances?index=1&"), line);
@@ -47,16 +47,16 @@
     /** An answer may go on for 4 s once it has begun; what is left of it counts when it comes. */
     @Test
     void isReadyWhileTheFirstListStillComesAndTakesItThen() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            String list = Bench.list(7, true, bench.entry(1, "in_service"));
-            String known = Bench.list(1, true, bench.entry(0, "in_service"));
+        try (TestBench bench = new TestBench(2)) {
+            String list = TestBench.listJson(7, true, bench.entry(1, "in_service"));
+            String known = TestBench.listJson(1, true, bench.entry(0, "in_service"));
             bench.start(folder, known);
-            Peer.Message asked = bench.discovery.next();
-            asked.raw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
+            StubServer.Message asked = bench.discovery.next();
+            asked.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
             int[] sent = {0};
             Thread drip = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
-                    asked.raw(list.substring(sent[0], ++sent[0]));
+                    asked.sendRaw(list.substring(sent[0], ++sent[0]));
                     try {
                         Thread.sleep(DRIP_MS);
                     } catch (InterruptedException e) {
@@ -68,12 +68,12 @@
             drip.start();
             awaitReady(bench);
             drip.interrupt();
-            drip.join(TimeUnit.SECONDS.toMillis(Peer.LIMIT_S));
-            assertTrue(asked.ended().getCount() > 0, "ready only once the answer was given up");
-            asked.raw(list.substring(sent[0]));
+            drip.join(TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_S));
+            assertTrue(asked.connectionEnded().getCount() > 0, "ready only once the answer was given up");
+            asked.sendRaw(list.substring(sent[0]));
             // Given up, it would ask for the whole list anew.
             assertTrue(bench.discovery.next().line().contains("?index=7&"), "the list that came is not held");
-            assertEquals(1, bench.served(), "by the list that came");
+            assertEquals(1, bench.serveOneRequest(), "by the list that came");
         }
     }
 }
--- a/src/test/java/larkworks/proxy/RepeatWindowTest.java
+++ b/src/test/java/larkworks/proxy/RepeatWindowTest.java
@@ -20,18 +20,18 @@
 
     @Test
     void aRepeatWhoseConnectionComesUpAfterItsKeysWindowIsNotSent() throws Exception {
-        try (Bench bench = new Bench(1); Hanging late = new Hanging()) {
+        try (TestBench bench = new TestBench(1); FullBacklogServer late = new FullBacklogServer()) {
             bench.dedupWindowUs = WINDOW_US;
             // By the configuration's seed the first of the list gets the first request.
-            bench.start(folder, Bench.list(1, true, bench.entry(0, "in_service"),
-                    Bench.entry("late", late.address(), "in_service")));
-            Bench.Client client = bench.client().post("pay", "r1", "x", "Idempotency-Key: k1\r\n");
-            Peer.Message first = bench.backends.get(0).next();
+            bench.start(folder, TestBench.listJson(1, true, bench.entry(0, "in_service"),
+                    TestBench.entry("late", late.address(), "in_service")));
+            TestBench.Client client = bench.client().sendPost("pay", "r1", "x", "Idempotency-Key: k1\r\n");
+            StubServer.Message first = bench.backends.get(0).next();
             first.reset();
             // The system tries the connection again after a second.
             Thread.sleep(WINDOW_US / 1000);
             Socket connection = late.accept();
-            assertTrue(Hanging.silent(connection), "a byte came after the window");
+            assertTrue(FullBacklogServer.hasReceivedNothing(connection), "a byte came after the window");
             assertEquals(503, client.status());
         }
     }
--- a/src/test/java/larkworks/proxy/ReplacementTest.java
+++ b/src/test/java/larkworks/proxy/ReplacementTest.java
@@ -27,7 +27,7 @@
     @TempDir
     Path folder;
 
-    private Bench bench;
+    private TestBench bench;
     private final List<Process> processes = new ArrayList<>();
     private final AtomicBoolean over = new AtomicBoolean();
     /** Ids of the requests that came to backends. */
@@ -36,13 +36,13 @@
 
     @BeforeEach
     void prepare() throws Exception {
-        bench = new Bench(2);
-        bench.at(Bench.freePort());
-        bench.list(bench.all(7));
-        for (Peer backend : bench.backends) {
+        bench = new TestBench(2);
+        bench.useProxyAt(TestBench.freePort());
+        bench.answerDiscoveryWith(bench.fullList(7));
+        for (StubServer backend : bench.backends) {
             spawn(() -> serve(backend));
         }
-        Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), bench.all(7)));
+        Files.writeString(folder.resolve("config.json"), bench.configJson(bench.port(), bench.fullList(7)));
         Files.createDirectory(folder.resolve("tmp"));
     }
 
@@ -75,9 +75,9 @@
         threads.add(thread);
     }
 
-    private void serve(Peer backend) throws InterruptedException {
+    private void serve(StubServer backend) throws InterruptedException {
         while (!over.get()) {
-            Peer.Message message = backend.next();
+            StubServer.Message message = backend.next();
             String id = message.header("X-Call-Id");
             ids.add(id);
             message.reply(200, id);
@@ -89,7 +89,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "larkworks.cli.Larkworks", "proxy");
         builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
-        builder.environment().put("GW_ADMIN_ADDR", Bench.HOST + ":" + admin);
+        builder.environment().put("GW_ADMIN_ADDR", TestBench.HOST + ":" + admin);
         builder.environment().put("TMPDIR", folder.resolve("tmp").toString());
         builder.redirectError(ProcessBuilder.Redirect.INHERIT);
         Process process = builder.start();
@@ -98,21 +98,21 @@
     }
 
     private static void awaitReady(int admin) throws Exception {
-        while (Bench.awaitCall(admin, "GET", "/ops/readiness") != 200) {
+        while (TestBench.awaitAdminCall(admin, "GET", "/ops/readiness") != 200) {
             Thread.sleep(10);
         }
     }
 
     /** Requests until told to stop, some on fresh connections and some on kept ones; each must be served. */
     private void ask(String name, List<String> served, AtomicBoolean stop) throws Exception {
-        Bench.Client kept = bench.client();
+        TestBench.Client kept = bench.client();
         for (int i = 0; !stop.get(); i++) {
             String id = name + "-" + i;
             if (i % 3 == 0) {
                 kept.socket().close();
                 kept = bench.client();
             }
-            Peer.Message answer = kept.look(id).answer();
+            StubServer.Message answer = kept.sendLook(id).answer();
             assertEquals(id, answer == null ? null : answer.text(), "the answer of " + id);
             served.add(id);
             if ("close".equals(answer.header("Connection"))) {
@@ -125,11 +125,11 @@
 
     @Test
     void losesNothingAndDoublesNothingWhileOneProcessReplacesAnother() throws Exception {
-        int before = Bench.freePort();
+        int before = TestBench.freePort();
         Process old = start(before);
         awaitReady(before);
-        Bench.Client idle = bench.client();
-        assertEquals(200, idle.look("first").status());
+        TestBench.Client idle = bench.client();
+        assertEquals(200, idle.sendLook("first").status());
         AtomicBoolean stop = new AtomicBoolean();
         List<String> served = Collections.synchronizedList(new ArrayList<>());
         List<Throwable> failed = Collections.synchronizedList(new ArrayList<>());
@@ -147,13 +147,13 @@
             clients.add(client);
         }
 
-        int after = Bench.freePort();
+        int after = TestBench.freePort();
         long from = System.nanoTime();
         Process young = start(after);
         awaitReady(after);
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
         old.destroy();
-        assertTrue(old.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(old.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
         int until = served.size();
         while (served.size() < until + 100 && failed.isEmpty()) {
             Thread.sleep(10);
@@ -172,36 +172,37 @@
 
     @Test
     void theOldProcessServesOnWhereTheNewOneFailsAtItsStart() throws Exception {
-        int admin = Bench.freePort();
+        int admin = TestBench.freePort();
         Process old = start(admin);
         awaitReady(admin);
         Process young = start(admin);  // its second address is in use
-        assertTrue(young.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(young.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
         assertNotEquals(0, young.exitValue());
-        assertEquals(200, bench.client().look("on").status());
-        assertEquals(200, Bench.call(admin, "GET", "/ops/readiness", ""));
+        assertEquals(200, bench.client().sendLook("on").status());
+        assertEquals(200, TestBench.callAdmin(admin, "GET", "/ops/readiness", ""));
         assertTrue(old.isAlive());
     }
 
     @Test
     void eachOfTwoLiveProcessesSeesTheCallsThatCameToTheOther() throws Exception {
-        int one = Bench.freePort();
-        int two = Bench.freePort();
+        int one = TestBench.freePort();
+        int two = TestBench.freePort();
         start(one);
         awaitReady(one);
-        assertEquals(200, Bench.call(one, "PUT", "/ops/backends/down", "{\"who\":\"b0\"}"));
+        assertEquals(200, TestBench.callAdmin(one, "PUT", "/ops/backends/down", "{\"who\":\"b0\"}"));
         Process young = start(two);
         awaitReady(two);
-        assertEquals(200, Bench.call(two, "PUT", "/ops/backends/down", "{\"who\":\"b1\"}"));
+        assertEquals(200, TestBench.callAdmin(two, "PUT", "/ops/backends/down", "{\"who\":\"b1\"}"));
         awaitReadiness(one, 503);
-        assertEquals(503, Bench.call(two, "GET", "/ops/readiness", ""), "b0 was called out at the other");
-        assertEquals(200, Bench.call(one, "PUT", "/ops/backends/up", "{\"who\":\"b1\"}"));
+        assertEquals(503, TestBench.callAdmin(two, "GET", "/ops/readiness", ""),
+                "b0 was called out at the other");
+        assertEquals(200, TestBench.callAdmin(one, "PUT", "/ops/backends/up", "{\"who\":\"b1\"}"));
         awaitReadiness(two, 200);
         assertTrue(young.isAlive());
     }
 
     private static void awaitReadiness(int admin, int status) throws Exception {
-        while (Bench.call(admin, "GET", "/ops/readiness", "") != status) {
+        while (TestBench.callAdmin(admin, "GET", "/ops/readiness", "") != status) {
             Thread.sleep(10);
         }
     }
--- a/src/test/java/larkworks/proxy/StartupExperiment.java
+++ b/src/test/java/larkworks/proxy/StartupExperiment.java
@@ -47,24 +47,25 @@
             throws Exception {
         String[] entries = new String[BACKENDS];
         for (int i = 0; i < BACKENDS; i++) {
-            entries[i] = Bench.entry("b" + i, "127.0.0.1:" + (i + 1), "in_service");
+            entries[i] = TestBench.entry("b" + i, "127.0.0.1:" + (i + 1), "in_service");
         }
-        String list = Bench.list(1, true, entries);
+        String list = TestBench.listJson(1, true, entries);
         Path folder = Files.createTempDirectory("startup");
         List<RunCommand> processes = new ArrayList<>();
         long[] ms = new long[size];
         long[] ticks = new long[size];
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(way, list); Bench bench = new Bench(0)) {
+        try (DiscoveryStandIn discovery = new DiscoveryStandIn(way, list);
+                TestBench bench = new TestBench(0)) {
             Set<Integer> ports = new HashSet<>();
             while (ports.size() < 2 * size) {
-                ports.add(Bench.freePort());  // the system may give one twice, once it is closed again
+                ports.add(TestBench.freePort());  // the system may give one twice, once it is closed again
             }
             List<Integer> free = List.copyOf(ports);
             List<Thread> pollers = new ArrayList<>();
             for (int i = 0; i < size; i++) {
                 Path own = Files.createDirectory(folder.resolve("own" + i));
                 Path config = Files.writeString(folder.resolve("config" + i + ".json"),
-                        bench.config(free.get(i), list).replace(Bench.HOST, HOST)
+                        bench.configJson(free.get(i), list).replace(TestBench.HOST, HOST)
                                 .replace(bench.discovery.address(), discovery.address()));
                 RunCommand run = new RunCommand(cores, config, own, admin
                         ? Map.of("GW_ADMIN_ADDR", HOST + ":" + free.get(size + i)) : Map.of());
@@ -97,7 +98,7 @@
         while (System.nanoTime() - run.startedNs < TimeUnit.SECONDS.toNanos(LIMIT_S)) {
             try (Socket socket = new Socket(InetAddress.getByName(HOST), port)) {
                 socket.setSoTimeout(10_000);
-                Peer.Message answer = new Bench.Client(socket, socket.getInputStream())
+                StubServer.Message answer = new TestBench.Client(socket, socket.getInputStream())
                         .send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer();
                 if (answer != null && answer.line().split(" ")[1].equals("200")) {
                     long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - run.startedNs);
--- a/src/test/java/larkworks/proxy/Peer.java
+++ b/src/test/java/larkworks/proxy/StubServer.java
@@ -22,18 +22,18 @@
 import java.util.concurrent.TimeUnit;
 
 /** A stub backend or discovery: it queues the requests that it receives, and the test answers them. */
-final class Peer implements AutoCloseable {
+final class StubServer implements AutoCloseable {
 
-    static final long LIMIT_S = 30;
+    static final long TIMEOUT_S = 30;
 
     private final ServerSocket listener;
-    private final Thread accepting;
+    private final Thread acceptThread;
     private final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
 
-    Peer() throws IOException {
+    StubServer() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        accepting = spawn(() -> {
+        acceptThread = spawn(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 sockets.add(socket);
@@ -48,15 +48,15 @@
 
     /** Waits for the next message that the test has not taken yet, and returns it. */
     Message next() throws InterruptedException {
-        Message message = received.poll(LIMIT_S, TimeUnit.SECONDS);
+        Message message = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (message == null) {
-            throw new AssertionError("no message was received within " + LIMIT_S + " s");
+            throw new AssertionError("no message was received within " + TIMEOUT_S + " s");
         }
         return message;
     }
 
     /** Returns how many messages were received that the test has not taken yet. */
-    int waiting() {
+    int pendingMessages() {
         return received.size();
     }
 
@@ -66,16 +66,16 @@
     }
 
     private void serve(Socket socket) throws IOException {
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch connectionEnded = new CountDownLatch(1);
         try {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            Message message = Message.read(in, socket, ended);
+            Message message = Message.read(in, socket, connectionEnded);
             while (message != null) {
                 received.add(message);
-                message = Message.read(in, socket, ended);
+                message = Message.read(in, socket, connectionEnded);
             }
         } finally {
-            ended.countDown();
+            connectionEnded.countDown();
         }
     }
 
@@ -84,7 +84,7 @@
     public void close() throws IOException {
         listener.close();
         try {
-            accepting.join();
+            acceptThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new InterruptedIOException("interrupted while waiting for the accepting thread to end");
@@ -95,14 +95,14 @@
     }
 
     /** A task that ends when its socket is closed. */
-    private interface Job {
+    private interface SocketTask {
         void run() throws IOException;
     }
 
-    private static Thread spawn(Job job) {
+    private static Thread spawn(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
-                job.run();
+                task.run();
             } catch (IOException e) {
                 // The socket was closed, by the test or by the proxy.
             }
@@ -114,31 +114,32 @@
 
     /** An HTTP request or response, with the connection on which it was received. */
     record Message(String line, Map<String, String> headers, byte[] body, Socket socket,
-            CountDownLatch ended) {
+            CountDownLatch connectionEnded) {
 
         /** Reads a message with a Content-Length or no body; returns null at the end of the connection. */
-        static Message read(InputStream in, Socket socket, CountDownLatch ended) throws IOException {
-            String line = line(in);
+        static Message read(InputStream in, Socket socket, CountDownLatch connectionEnded)
+                throws IOException {
+            String line = readLine(in);
             if (line == null) {
                 return null;
             }
             Map<String, String> headers = new LinkedHashMap<>();
-            for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
+            for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
                 int colon = header.indexOf(':');
                 headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT),
                         header.substring(colon + 1).strip());
             }
             int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-            return new Message(line, headers, in.readNBytes(length), socket, ended);
+            return new Message(line, headers, in.readNBytes(length), socket, connectionEnded);
         }
 
-        private static String line(InputStream in) throws IOException {
+        private static String readLine(InputStream in) throws IOException {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
-            for (int b = in.read(); b != '\n'; b = in.read()) {
-                if (b < 0) {
+            for (int next = in.read(); next != '\n'; next = in.read()) {
+                if (next < 0) {
                     return null;
                 }
-                line.write(b);
+                line.write(next);
             }
             return line.toString(StandardCharsets.ISO_8859_1).strip();
         }
@@ -153,18 +154,18 @@
 
         /** Sends a response; each header is a line without its line end. */
         void reply(int status, String text, String... headers) {
-            StringBuilder message = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
+            StringBuilder response = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
             for (String header : headers) {
-                message.append(header).append("\r\n");
+                response.append(header).append("\r\n");
             }
-            message.append("Content-Length: ").append(text.length()).append("\r\n\r\n").append(text);
-            raw(message.toString());
+            response.append("Content-Length: ").append(text.length()).append("\r\n\r\n").append(text);
+            sendRaw(response.toString());
         }
 
         /** Sends these characters as they are, without adding a head. */
-        void raw(String bytes) {
+        void sendRaw(String characters) {
             try {
-                socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
+                socket.getOutputStream().write(characters.getBytes(StandardCharsets.UTF_8));
                 socket.getOutputStream().flush();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -177,9 +178,9 @@
         }
 
         /** Waits until the other side has closed the connection. */
-        void awaitEnd() throws InterruptedException {
-            if (!ended.await(LIMIT_S, TimeUnit.SECONDS)) {
-                throw new AssertionError("the connection was not closed within " + LIMIT_S + " s");
+        void awaitConnectionEnd() throws InterruptedException {
+            if (!connectionEnded.await(TIMEOUT_S, TimeUnit.SECONDS)) {
+                throw new AssertionError("the connection was not closed within " + TIMEOUT_S + " s");
             }
         }
     }
