--- a/src/main/java/larkworks/Backend.java
+++ b/src/main/java/larkworks/Backend.java
@@ -3,73 +3,81 @@
 import java.util.Comparator;
 import java.util.SplittableRandom;
 
-/** A server as this copy sees it. */
+/** The state that this copy keeps of a server. */
 final class Backend {
-    /** The order in which all copies see the servers: by a hash of the name, then by the name. */
-    static final Comparator<Backend> RING = Comparator.comparingLong((Backend s) -> s.ringPlace)
+    /** The order of the servers on the ring, the same at all copies: by a hash of the name, then by name. */
+    static final Comparator<Backend> RING_ORDER = Comparator.comparingLong((Backend s) -> s.ringPosition)
             .thenComparing(s -> s.id);
-    /** The earliest assigned first. */
-    static final Comparator<Backend> TURN = Comparator.comparingLong((Backend s) -> s.turnAtUs)
-            .thenComparing(RING);
+    /** The least recently assigned server first. */
+    static final Comparator<Backend> ASSIGNMENT_ORDER =
+            Comparator.comparingLong((Backend s) -> s.assignedAtUs).thenComparing(RING_ORDER);
 
     final String id;
-    private final long ringPlace;
+    private final long ringPosition;
     int zone;
     int group;
-    /** What it can do next to others by its registration. */
-    double size;
-    /** The part of its turns at this copy that are taken, below 1 for the last of a subset. */
-    double part = 1;
-    /** Whether its answers tell its load, and the calls in flight that the last one told, plus one. */
-    boolean reports;
-    double crowd;
+    /** Its capacity relative to the other servers, by its registration. */
+    double weight;
+    /** The part of the server that belongs to this copy's subset: below 1 where the subset ends within it. */
+    double subsetShare = 1;
+    /** Whether its answers carry load reports. */
+    boolean reportsLoad;
+    /** One plus the calls in flight by the load report of its latest answer. */
+    double answerLoad;
     long startedAtUs;
-    /** When the operator's call brought it back, restarted as a rule; 0 where none did. */
-    long returnedAtUs;
-    /** By then it may be used, however long its turn: a server brought back is soon to be seen to work. */
-    long entryByUs = Long.MAX_VALUE;
-    boolean up;
-    /** Whether it takes turns at this copy. Changed through {@link AssignmentOrder} alone. */
-    boolean inSubset;
-    /** What all copies' budget leaves this one; null where there is none. */
+    /** When the operator ended its maintenance, usually after a restart; 0 where there was none. */
+    long maintenanceEndedAtUs;
+    /**
+     * The latest time at which it may be used, whatever its place in the assignment order: a server that
+     * returns from maintenance must soon be seen to work.
+     */
+    long firstUseByUs = Long.MAX_VALUE;
+    boolean isUp;
+    /** Whether it belongs to this copy's subset. Only {@link AssignmentOrder} changes it. */
+    boolean isInSubset;
+    /** This copy's share of the budget for the server; null where there is no budget. */
     BudgetShare budget;
-    int inFlight;
+    /** This copy's attempts in flight there. */
+    int attemptsInFlight;
     /**
-     * When it was last assigned, later by a part of a round for a slow server, earlier for a quick one.
-     * Below all times, in random order, while never used. Changed through {@link AssignmentOrder} alone.
+     * When it was last assigned a call; moved to a later time for a slow server and to an earlier one for a
+     * fast server. A server that was never used has a random value below all times. Only
+     * {@link AssignmentOrder} changes it.
      */
-    long turnAtUs;
-    int failures;
-    /** Share of errors among its latest answers, and rests for it with no recovery between. */
-    double errors;
-    int errorRests;
-    /** Overdue attempts since its last answer. */
-    int silences;
-    /** Probes without an answer since the last one that had one. */
-    int unanswered;
-    /** Chosen only if all others are busy, until then. */
+    long assignedAtUs;
+    int connectionFailures;
+    /** The share of errors among its latest answers, and its consecutive ejections for errors. */
+    double errorShare;
+    int errorEjections;
+    /** Attempts that stalled or timed out since its last answer. */
+    int unansweredCalls;
+    /** Probes without an answer since the last answered probe. */
+    int unansweredProbes;
+    /** Until when it is chosen only if all other servers are busy. */
     long demotedUntilUs = Long.MIN_VALUE;
-    /** Calls in flight by its own report, valid until {@link #reportUntilUs}. */
-    int reported;
-    long reportUntilUs = Long.MIN_VALUE;
-    /** Running sums of the time that calls took here and of the calls ahead; when they last changed. */
-    double tookUs;
-    double ahead;
-    long callSeenUs = Long.MIN_VALUE;
-    /** When the probe that is out was sent, or the least value. */
-    long probedAtUs = Long.MIN_VALUE;
-    long restUntilUs = Long.MIN_VALUE;
-    /** A cold or newly listed server takes nothing until so many of its turns have passed since then. */
-    double entryTurns;
-    long entryFromUs;
+    /** The calls in flight that it reported to a probe, or a high load after it rejected a call as full. */
+    int reportedLoad;
+    /** Until when {@link #reportedLoad} is valid. */
+    long reportedLoadUntilUs = Long.MIN_VALUE;
+    /** Decaying sums of its calls' durations and of the loads they met, and when both were last updated. */
+    double durationSumUs;
+    double loadSum;
+    long lastMeasuredAtUs = Long.MIN_VALUE;
+    /** When the probe in flight was sent; {@code Long.MIN_VALUE} where there is none. */
+    long probeSentAtUs = Long.MIN_VALUE;
+    long ejectedUntilUs = Long.MIN_VALUE;
+    /** A cold or newly listed server gets no call until this many of its assignment intervals have passed. */
+    double waitIntervals;
+    /** The time from which the intervals before its next call are counted. */
+    long waitFromUs;
 
     Backend(String id) {
         this.id = id;
-        this.ringPlace = new SplittableRandom(id.hashCode()).nextLong();
+        this.ringPosition = new SplittableRandom(id.hashCode()).nextLong();
     }
 
-    /** Time that a call takes here for each call in flight; 0 while unknown. */
-    double callUs() {
-        return ahead > 0 ? tookUs / ahead : 0;
+    /** Returns the mean duration of its calls per call in flight; 0 while unknown. */
+    double meanCallUs() {
+        return loadSum > 0 ? durationSumUs / loadSum : 0;
     }
 }
--- a/src/main/java/larkworks/proxy/Adoption.java
+++ b/src/main/java/larkworks/proxy/RolloutClient.java
@@ -40,20 +40,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A proxy's part in a staged rollout: it says now and then which version it runs and how that goes, and
- * takes up the version it is told to run. While the list service can't be reached, it runs on what it has.
+ * The proxy's client of staged rollouts: reports at a fixed interval which configuration version it runs and
+ * how requests fare with it, and applies the version that the answer names. While the list service can't be
+ * reached, the proxy keeps its present version.
  */
-final class Adoption {
+final class RolloutClient {
 
     private static final Logger LOG = LoggerFactory.getLogger("rollout");
     private static final ObjectMapper JSON = JsonMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE).build();
-    private static final int MOST_ANSWER = 128 << 10;
-    /** An answer later than this is not waited for. */
-    private static final long PATIENCE_MS = 2_000;
+    private static final int MAX_ANSWER_BYTES = 128 << 10;
+    /** Timeout of connecting, and of the wait for an answer. */
+    private static final long ANSWER_TIMEOUT_MS = 2_000;
 
-    /** Makes a configuration's settings of its file and a patch to it. */
-    interface Reader {
+    /** Reads the settings from the configuration file with a merge patch applied to it. */
+    interface SettingsSource {
         Settings settings(JsonNode patch) throws Unusable;
     }
 
@@ -61,121 +62,126 @@
     private final Driver driver;
     private final String name;
     private final List<InetSocketAddress> addresses;
-    private final long everyMs;
-    private final Reader reader;
-    private final Settings first;
-    private int at;
-    /** The version that is run; 0 for the file alone. */
+    private final long reportIntervalMs;
+    private final SettingsSource settingsSource;
+    private final Settings initialSettings;
+    private int addressIndex;
+    /** The version that this proxy runs; 0 for the configuration file without a patch. */
     private long version;
-    private long refused;
-    private String why = "";
-    private Future<?> next;
+    private long refusedVersion;
+    private String refusalReason = "";
+    private Future<?> nextReport;
     private boolean closed;
 
-    Adoption(Config config, EventLoop loop, Driver driver, Reader reader) {
+    RolloutClient(Config config, EventLoop loop, Driver driver, SettingsSource settingsSource) {
         this.loop = loop;
         this.driver = driver;
         this.name = config.name();
         this.addresses = config.discovery();
-        this.everyMs = config.rolloutReportMs();
-        this.reader = reader;
-        this.first = config.settings();
+        this.reportIntervalMs = config.rolloutReportMs();
+        this.settingsSource = settingsSource;
+        this.initialSettings = config.settings();
     }
 
-    /** Begins to report; on the loop. */
+    /** Starts reporting; to be called on the loop. */
     void start() {
-        next = loop.schedule(this::report, everyMs, TimeUnit.MILLISECONDS);
+        nextReport = loop.schedule(this::sendReport, reportIntervalMs, TimeUnit.MILLISECONDS);
     }
 
     void close() {
         closed = true;
-        if (next != null) {
-            next.cancel(false);
+        if (nextReport != null) {
+            nextReport.cancel(false);
         }
     }
 
-    private void report() {
+    private void sendReport() {
         if (closed) {
             return;
         }
-        next = loop.schedule(this::report, everyMs, TimeUnit.MILLISECONDS);
-        InetSocketAddress address = addresses.get(at);
+        nextReport = loop.schedule(this::sendReport, reportIntervalMs, TimeUnit.MILLISECONDS);
+        InetSocketAddress address = addresses.get(addressIndex);
         new Bootstrap().group(loop).channel(TcpChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) PATIENCE_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline().addLast(
-                                new ReadTimeoutHandler(PATIENCE_MS, TimeUnit.MILLISECONDS),
-                                new HttpClientCodec(), new HttpObjectAggregator(MOST_ANSWER), new Answer());
+                                new ReadTimeoutHandler(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS),
+                                new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES),
+                                new AnswerHandler());
                     }
                 }).connect(address).addListener((io.netty.channel.ChannelFuture connected) -> {
                     if (connected.isSuccess()) {
-                        send(connected.channel(), address);
+                        writeReport(connected.channel(), address);
                     } else {
-                        at = (at + 1) % addresses.size();
+                        addressIndex = (addressIndex + 1) % addresses.size();
                     }
                 });
     }
 
-    private void send(Channel channel, InetSocketAddress address) throws IOException {
+    private void writeReport(Channel channel, InetSocketAddress address) throws IOException {
         byte[] body = JSON.writeValueAsBytes(new Report(version, driver.requestsEnded(),
-                driver.requestsFailed(), refused, why, driver.resting()));
-        var call = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT,
+                driver.requestsFailed(), refusedVersion, refusalReason, driver.resting()));
+        var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT,
                 "/registry/v1/rollout/reports/" + name, Unpooled.wrappedBuffer(body));
-        call.headers().set(HttpHeaderNames.HOST, Addresses.text(address))
+        request.headers().set(HttpHeaderNames.HOST, Addresses.text(address))
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        channel.writeAndFlush(call);
+        channel.writeAndFlush(request);
     }
 
-    private final class Answer extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class AnswerHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             context.close();
             if (response.status().code() != 200 || closed) {
-                LOG.atWarn().addKeyValue("status", response.status().code()).log("a report was not taken");
+                LOG.atWarn().addKeyValue("status", response.status().code())
+                        .log("the list service did not accept a rollout report");
                 return;
             }
             try {
-                told(JSON.readValue(ByteBufUtil.getBytes(response.content()), Rollouts.Target.class));
+                applyTarget(JSON.readValue(ByteBufUtil.getBytes(response.content()), Rollouts.Target.class));
             } catch (IOException e) {
-                LOG.atWarn().addKeyValue("why", e.getMessage()).log("an answer that can't be read");
+                LOG.atWarn().addKeyValue("why", e.getMessage())
+                        .log("the answer to a rollout report can't be parsed");
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // Silence, a reset: the next report asks the next address.
-            LOG.atDebug().addKeyValue("why", cause.toString()).log("no answer to a report");
-            at = (at + 1) % addresses.size();
+            // For example a timeout or a reset: the next report goes to the next address.
+            LOG.atDebug().addKeyValue("why", cause.toString()).log("no answer to a rollout report");
+            addressIndex = (addressIndex + 1) % addresses.size();
             context.close();
         }
     }
 
-    private void told(Rollouts.Target target) {
-        if (target.version() == version || refused > 0 && target.version() == refused) {
+    private void applyTarget(Rollouts.Target target) {
+        if (target.version() == version || refusedVersion > 0 && target.version() == refusedVersion) {
             return;
         }
         try {
-            Settings settings = reader.settings(target.patch());
-            if (!names(settings).equals(names(first))) {
+            Settings settings = settingsSource.settings(target.patch());
+            if (!classAndTenantNames(settings).equals(classAndTenantNames(initialSettings))) {
                 throw new Unusable("rollout", List.of("classes and tenants must stay as they are"));
             }
             driver.adopt(settings);
-            LOG.atInfo().addKeyValue("from", version).addKeyValue("to", target.version()).log("adopted");
+            LOG.atInfo().addKeyValue("from", version).addKeyValue("to", target.version())
+                    .log("configuration version applied");
             version = target.version();
-            refused = 0;
-            why = "";
+            refusedVersion = 0;
+            refusalReason = "";
         } catch (Unusable | RuntimeException e) {
-            // Whatever is wrong with it, the version is not run, and the list service is told why.
-            refused = target.version();
-            why = String.valueOf(e.getMessage());
-            LOG.atError().addKeyValue("version", refused).addKeyValue("why", why).log("can't be adopted");
+            // Whatever the fault, the version is not applied, and the next report gives the reason.
+            refusedVersion = target.version();
+            refusalReason = String.valueOf(e.getMessage());
+            LOG.atError().addKeyValue("version", refusedVersion).addKeyValue("why", refusalReason)
+                    .log("configuration version can't be applied; keeping the present one");
         }
     }
 
-    private static List<Object> names(Settings settings) {
+    private static List<Object> classAndTenantNames(Settings settings) {
         return List.of(settings.classes().stream().map(RequestClass::name).toList(),
                 settings.tenants().stream().map(Tenant::name).toList());
     }
--- a/src/test/java/larkworks/proxy/ResourceLimitTest.java
+++ b/src/test/java/larkworks/proxy/ResourceLimitTest.java
@@ -132,14 +132,14 @@
     }
 
     @Test
-    void processIsPresentUntilItCloses() throws Exception {
-        Presence first = new Presence(folder);
-        assertFalse(first.accompanied());
-        Presence second = new Presence(folder);
-        assertTrue(first.accompanied());
-        assertTrue(second.accompanied());
+    void processIsDetectedUntilItCloses() throws Exception {
+        ProcessLock first = new ProcessLock(folder);
+        assertFalse(first.isOtherProcessAlive());
+        ProcessLock second = new ProcessLock(folder);
+        assertTrue(first.isOtherProcessAlive());
+        assertTrue(second.isOtherProcessAlive());
         second.close();
-        assertFalse(first.accompanied());
+        assertFalse(first.isOtherProcessAlive());
         first.close();
     }
 }
--- a/src/test/java/larkworks/proxy/TestBench.java
+++ b/src/test/java/larkworks/proxy/TestBench.java
@@ -185,12 +185,12 @@
         if (proxy.loop().isShuttingDown()) {
             return;
         }
-        Main.Held held = proxy.loop().submit(proxy::held).syncUninterruptibly().getNow();
-        if (held.overdue() > 0) {
-            throw new AssertionError("requests without an answer past their deadline: " + held);
+        Main.ClientUsage usage = proxy.loop().submit(proxy::clientUsage).syncUninterruptibly().getNow();
+        if (usage.requestsPastDeadline() > 0) {
+            throw new AssertionError("requests without an answer past their deadline: " + usage);
         }
-        if (held.violations() > 0) {
-            throw new AssertionError("invariants were violated: " + held);
+        if (usage.violations() > 0) {
+            throw new AssertionError("invariants were violated: " + usage);
         }
     }
 
@@ -200,7 +200,7 @@
      */
     CompletableFuture<Void> beginShutdown() throws Exception {
         Main draining = main;
-        CompletableFuture<Void> ended = CompletableFuture.runAsync(draining::finish);
+        CompletableFuture<Void> ended = CompletableFuture.runAsync(draining::drainAndWait);
         Client probe = client();
         while (!"close".equals(probe.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer()
                 .header("Connection"))) {
@@ -235,7 +235,7 @@
     /** Starts the proxy and begins its shutdown before its warm-up is complete. */
     CompletableFuture<Void> startAndShutDown(Path directory) throws Exception {
         startMain(directory, fullList(1));
-        return CompletableFuture.runAsync(main::finish);
+        return CompletableFuture.runAsync(main::drainAndWait);
     }
 
     private void startMain(Path directory, String knownList) throws Exception {
@@ -314,7 +314,7 @@
 
     /** Returns whether the proxy has a request whose answer or attempts are not complete. */
     boolean hasPendingRequests() throws Exception {
-        return main.loop().submit(main::held).get().requests();
+        return main.loop().submit(main::clientUsage).get().hasRequests();
     }
 
     /** Waits until the proxy has read and handled all input that arrived before this call. */
@@ -346,12 +346,13 @@
      */
     void awaitClientsReleased(int released) throws Exception {
         long timeoutAtNs = System.nanoTime() + StubServer.TIMEOUT_S * 1_000_000_000L;
-        Main.Held held = main.loop().submit(main::held).get();
-        while (held.requests() || held.bodyBytes() > 0 || held.connections() > clients.size() - released) {
+        Main.ClientUsage usage = main.loop().submit(main::clientUsage).get();
+        while (usage.hasRequests() || usage.bodyBytes() > 0
+                || usage.connections() > clients.size() - released) {
             if (System.nanoTime() > timeoutAtNs) {
-                throw new AssertionError("the proxy still holds " + held + "; clients: " + clients.size());
+                throw new AssertionError("the proxy still holds " + usage + "; clients: " + clients.size());
             }
-            held = main.loop().submit(main::held).get();
+            usage = main.loop().submit(main::clientUsage).get();
         }
     }
 
