--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -137,7 +137,7 @@
         for (int i = 0; i < settings.tenants().size(); i++) {
             tenants.put(settings.tenants().get(i).name(), i);
         }
-        sockets.onFreed(() -> setAccepting(true));
+        sockets.onRelease(() -> setAccepting(true));
     }
 
     /**
@@ -152,7 +152,7 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 // Reads on after a short read, as the end of stream may follow: the client may have closed.
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBuffers()
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Sockets.readBufferAllocator()
                         .respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -176,7 +176,7 @@
     private void acceptFailed(SystemError error, boolean persists) {
         onAcceptFailure.accept(error);
         if (persists && error == SystemError.EMFILE) {
-            sockets.freeOne();
+            sockets.evictOne();
         }
     }
 
@@ -333,7 +333,7 @@
         if (request.decoderResult().isFailure() || RequestDecoder.hasUnsupportedTransferCoding(request)) {
             throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "broken request");
         }
-        if (HttpUtil.getContentLength(request, 0L) > BackendPool.MOST_LARGE) {
+        if (HttpUtil.getContentLength(request, 0L) > BackendPool.MAX_BODY_BYTES) {
             throw new RejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
         }
         String expected = request.headers().get(HttpHeaderNames.EXPECT);
@@ -422,11 +422,12 @@
                 openConnections--;
                 setRequestTimeout(null);
                 sockets.release();
-                driver.invariants().check(openConnections >= 0 && bufferedBytes >= 0 && sockets.consistent(),
+                driver.invariants().check(
+                        openConnections >= 0 && bufferedBytes >= 0 && sockets.isConsistent(),
                         Rule.COUNTS_NOT_NEGATIVE, "", () -> "connections=" + openConnections + " held_bytes="
-                                + bufferedBytes + " sockets=" + sockets.open());
+                                + bufferedBytes + " sockets=" + sockets.openCount());
             });
-            if (!sockets.accepted()) {
+            if (!sockets.addAccepted()) {
                 // Further connections wait in the listener's queue until one closes.
                 setAccepting(false);
             }
@@ -562,7 +563,7 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (streamedAnswer != null && channel.isWritable()) {
-                streamedAnswer.exchange.resume();
+                streamedAnswer.exchange.resumeReading();
             }
         }
 
@@ -648,8 +649,8 @@
             }
             ByteBuf part = content.content();
             receivedBodyBytes += part.readableBytes();
-            if (receivedBodyBytes > BackendPool.MOST_LARGE
-                    || rejection != null && receivedBodyBytes > BackendPool.MOST_BODY) {
+            if (receivedBodyBytes > BackendPool.MAX_BODY_BYTES
+                    || rejection != null && receivedBodyBytes > BackendPool.MAX_BUFFERED_BODY_BYTES) {
                 throw new RejectedException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body too large");
             }
             boolean last = content instanceof LastHttpContent;
@@ -665,7 +666,7 @@
             } else if (rejection == null && !isHealthCheck()) {
                 reserve(part.readableBytes());
                 body.writeBytes(part);
-                if (body.readableBytes() > BackendPool.MOST_BODY && !last) {
+                if (body.readableBytes() > BackendPool.MAX_BUFFERED_BODY_BYTES && !last) {
                     startUpload(arrivalUs);
                 }
             }
@@ -697,7 +698,7 @@
             upload = new Upload(channel, writeBufferShares, HttpFraming.bodyLength(head), body,
                     this::releaseReserved);
             body = null;
-            dispatch(parsedRequest.with(null, upload, arrivalUs));
+            dispatch(parsedRequest.withBody(null, upload, arrivalUs));
             if (upload != null) {
                 upload.updateReading();
             }
@@ -721,7 +722,7 @@
             } else {
                 waitingConnections().remove(this);
                 proven = true;
-                completeRequest = parsedRequest.with(bytes, null, arrivalUs);
+                completeRequest = parsedRequest.withBody(bytes, null, arrivalUs);
                 loop.execute(this::dispatchCompleteRequest);
             }
         }
@@ -731,7 +732,7 @@
             if (upload == uploaded && channel.isActive()) {
                 upload.complete();
                 if (pending != null) {
-                    driver.uploaded(pending);
+                    driver.uploadCompleted(pending);
                 }
             }
         }
@@ -751,7 +752,7 @@
             waitingConnections().remove(this);
             proven = true;
             awaitingAnswer = true;
-            PendingRequest dispatched = driver.request(inbound, new Client(this));
+            PendingRequest dispatched = driver.submit(inbound, new Client(this));
             pending = awaitingAnswer ? dispatched : null;
         }
 
@@ -938,7 +939,7 @@
             closeNow(CloseReason.FAILED);
         }
 
-        private BackendPool.Sink beginStreamedAnswer(BackendPool.Exchange exchange, String contentType,
+        private BackendPool.AnswerSink beginStreamedAnswer(BackendPool.Exchange exchange, String contentType,
                 long length, Driver.Delivery delivery) {
             streamedAnswer = new StreamedAnswer(this, exchange, contentType, length, delivery);
             return streamedAnswer;
@@ -946,7 +947,7 @@
     }
 
     /** Writes a large answer to the client as it arrives from the backend. */
-    private final class StreamedAnswer implements BackendPool.Sink {
+    private final class StreamedAnswer implements BackendPool.AnswerSink {
 
         private final Connection connection;
         private final Channel channel;
@@ -1001,7 +1002,7 @@
         }
 
         @Override
-        public boolean part(ByteBuf content) {
+        public boolean write(ByteBuf content) {
             passedBytes += content.readableBytes();
             channel.write(new DefaultHttpContent(content));
             return channel.isWritable();
@@ -1013,7 +1014,7 @@
         }
 
         @Override
-        public void end() {
+        public void complete() {
             connection.streamedAnswer = null;
             connection.pending = null;
             if (last) {
@@ -1030,7 +1031,7 @@
 
         /** Closes the connection so that the client sees a truncated answer, by framing or by a reset. */
         @Override
-        public void broken() {
+        public void abort() {
             stop(false);
             connection.streamedAnswer = null;
             if (endsWithConnection) {
@@ -1053,33 +1054,33 @@
     private record Client(Connection connection) implements Driver.Client {
 
         @Override
-        public boolean connected() {
+        public boolean isConnected() {
             return connection.isConnected();
         }
 
         @Override
-        public boolean open() {
+        public boolean isOpen() {
             return connection.channel.isActive();
         }
 
         @Override
-        public void served(byte[] body, String contentType, Driver.Delivery delivery) {
+        public void sendAnswer(byte[] body, String contentType, Driver.Delivery delivery) {
             connection.answer(HttpResponseStatus.OK, body, contentType, -1, delivery);
         }
 
         @Override
-        public BackendPool.Sink begins(BackendPool.Exchange exchange, String contentType, long length,
-                Driver.Delivery delivery) {
+        public BackendPool.AnswerSink startStream(BackendPool.Exchange exchange, String contentType,
+                long length, Driver.Delivery delivery) {
             return connection.beginStreamedAnswer(exchange, contentType, length, delivery);
         }
 
         @Override
-        public void refused(long retryAfterUs, Driver.Delivery delivery) {
+        public void sendRefusal(long retryAfterUs, Driver.Delivery delivery) {
             connection.answer(HttpResponseStatus.SERVICE_UNAVAILABLE, null, null, retryAfterUs, delivery);
         }
 
         @Override
-        public void failed(Driver.Delivery delivery) {
+        public void sendFailure(Driver.Delivery delivery) {
             connection.answer(HttpResponseStatus.BAD_GATEWAY, null, null, -1, delivery);
         }
     }
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -111,10 +111,11 @@
         sharedState = config.shared() == null ? null : createSharedState();
         if (meters != null) {
             registerGauges();
-            driver.invariants().onViolation(meters::violated);
+            driver.invariants().onViolation(meters::invariantViolated);
             frontend.onAcceptFailure(meters::acceptFailed);
         }
-        sockets.evictors(frontend::evictLingering, frontend::evictUnproven, pool::evict, frontend::evictIdle);
+        sockets.setEvictors(frontend::evictLingering, frontend::evictUnproven, pool::evictLongestIdle,
+                frontend::evictIdle);
     }
 
     /**
@@ -150,25 +151,25 @@
                 config.settings().rules().coldUs() / 1000, () -> driver.clock().nowUs() / 1000,
                 // Mixes in the member's number: proxies with the same seed must choose different members.
                 new Random(config.seed() + config.fleet().self() * 0x9E3779B97F4A7C15L), fleetMember.peers(),
-                driver.new FromPeers());
+                driver.new PeerStateListener());
         fleetMember.carry(state);
-        driver.share(state);
+        driver.shareState(state);
         return state;
     }
 
     /** Registers the gauges that are read at each scrape, from another thread than the loop. */
     private void registerGauges() {
-        meters.gauge("larkworks.discovery.index", discovery, d -> d.index());
+        meters.registerGauge("larkworks.discovery.index", discovery, d -> d.index());
         for (ListFreshness.State state : ListFreshness.State.values()) {
-            meters.gauge("larkworks.list", discovery, d -> d.freshness() == state ? 1 : 0, "state",
+            meters.registerGauge("larkworks.list", discovery, d -> d.freshness() == state ? 1 : 0, "state",
                     state.name().toLowerCase(Locale.ROOT));
         }
-        meters.gauge("larkworks.sockets.open", sockets, s -> s.open());
-        meters.gauge("larkworks.loop.longest.gap.ms", pollTimes, PollTimes::longestGapMs);
+        meters.registerGauge("larkworks.sockets.open", sockets, s -> s.openCount());
+        meters.registerGauge("larkworks.loop.longest.gap.ms", pollTimes, PollTimes::longestGapMs);
         if (fleetMember != null) {
-            meters.gauge("larkworks.minority", fleetMember, m -> m.minority() ? 1 : 0);
+            meters.registerGauge("larkworks.minority", fleetMember, m -> m.minority() ? 1 : 0);
             for (MemberState state : MemberState.values()) {
-                meters.gauge("larkworks.members", fleetMember, m -> m.count(state), "state",
+                meters.registerGauge("larkworks.members", fleetMember, m -> m.count(state), "state",
                         FleetMember.name(state));
             }
         }
@@ -338,8 +339,8 @@
 
     /** Returns the requests and resources of clients now; to be called on the loop. */
     ClientUsage clientUsage() {
-        return new ClientUsage(!driver.isIdle(), driver.overdue().size(), frontend.bufferedBytes(),
-                frontend.openConnections(), driver.invariants().count());
+        return new ClientUsage(!driver.isIdle(), driver.requestsPastDeadline().size(),
+                frontend.bufferedBytes(), frontend.openConnections(), driver.invariants().violationCount());
     }
 
     /** Returns the proxy's only event loop, so that tests can run several steps in one iteration. */
@@ -386,7 +387,7 @@
             // A request sent over 0.7 s after SIGTERM must be answered before the earliest SIGKILL. SIGTERM
             // may have been sent some time before this process handled it, so the bound starts sooner.
             long earliestKillMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs()) + MIN_KILL_DELAY_MS;
-            driver.answerBy(signalUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
+            driver.limitDeadlines(signalUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
                     signalUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
             loop.schedule(() -> {
                 frontend.stopListening();
@@ -411,7 +412,7 @@
      */
     private void completeWhenIdle() {
         frontend.closeUnusedConnections();
-        boolean timedOut = driver.clock().nowUs() > driver.lastDueUs() + LARGE_BODY_TIMEOUT_MS * 1000;
+        boolean timedOut = driver.clock().nowUs() > driver.latestDeadlineUs() + LARGE_BODY_TIMEOUT_MS * 1000;
         if (timedOut) {
             LOG.warn("stopped with requests that have not ended");
             driver.logPending("the process ends");
--- a/src/main/java/larkworks/proxy/PendingRequest.java
+++ b/src/main/java/larkworks/proxy/PendingRequest.java
@@ -17,7 +17,7 @@
     final Driver.Inbound inbound;
     final Driver.Client client;
     /** The decision module that handles this request until it ends. */
-    final Driver.Deciding module;
+    final Driver.DecisionModule module;
     final List<UpstreamAttempt> attempts = new ArrayList<>(2);
     /** When the driver got the request, which may be some time after it arrived. */
     final long dispatchedUs;
@@ -38,7 +38,7 @@
     private boolean delivered;
 
     PendingRequest(String id, Driver.Inbound inbound, Driver.Client client, long dispatchedUs,
-            long deadlineUs, Driver.Deciding module) {
+            long deadlineUs, Driver.DecisionModule module) {
         this.dispatchedUs = dispatchedUs;
         this.id = id;
         this.inbound = inbound;
@@ -101,6 +101,6 @@
     }
 
     private long sinceArrivalMs(long atUs) {
-        return (atUs - inbound.takenAtUs()) / 1000;
+        return (atUs - inbound.receivedAtUs()) / 1000;
     }
 }
--- a/src/main/java/larkworks/proxy/RolloutClient.java
+++ b/src/main/java/larkworks/proxy/RolloutClient.java
@@ -121,8 +121,8 @@
     }
 
     private void writeReport(Channel channel, InetSocketAddress address) throws IOException {
-        byte[] body = JSON.writeValueAsBytes(new Report(version, driver.requestsEnded(),
-                driver.requestsFailed(), refusedVersion, refusalReason, driver.resting()));
+        byte[] body = JSON.writeValueAsBytes(new Report(version, driver.requestsAnswered(),
+                driver.requestsFailed(), refusedVersion, refusalReason, driver.ejectedServers()));
         var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.PUT,
                 "/registry/v1/rollout/reports/" + name, Unpooled.wrappedBuffer(body));
         request.headers().set(HttpHeaderNames.HOST, Addresses.text(address))
@@ -166,7 +166,7 @@
             if (!classAndTenantNames(settings).equals(classAndTenantNames(initialSettings))) {
                 throw new Unusable("rollout", List.of("classes and tenants must stay as they are"));
             }
-            driver.adopt(settings);
+            driver.applySettings(settings);
             LOG.atInfo().addKeyValue("from", version).addKeyValue("to", target.version())
                     .log("configuration version applied");
             version = target.version();
--- a/src/main/java/larkworks/proxy/SendGuard.java
+++ b/src/main/java/larkworks/proxy/SendGuard.java
@@ -4,51 +4,54 @@
 import larkworks.Balancer.RequestClass;
 
 /**
- * The one place that says whether an attempt may begin, at the moment when its first byte may go out. The
- * module decided on it earlier: since then a connection had to come up, in which time the request may have
- * ended, its client may have left, its key's window may have passed.
+ * Decides whether an attempt may still be sent, just before its first byte is written. The decision module
+ * chose it before the connection was established; in the meantime the request may have ended, its client may
+ * have left, or the deduplication window of its idempotency key may have passed.
  */
 final class SendGuard {
 
-    /** Whether an attempt may begin, or why not. */
-    enum Verdict { GO, ATTEMPT_ENDED, ANSWERED, SERVER_BARRED, NO_TIME_LEFT, CLIENT_LEFT, MAY_HAVE_RUN }
+    /**
+     * Whether an attempt may be sent, or the reason why not, as written to the log. SERVER_BARRED: the server
+     * is in maintenance, or its drain's grace period is over or about to be.
+     */
+    enum Decision { SEND, ATTEMPT_ENDED, ANSWERED, SERVER_BARRED, NO_TIME_LEFT, CLIENT_LEFT, MAY_HAVE_RUN }
 
     private SendGuard() { }
 
     /**
-     * Judges an attempt.
+     * Decides whether an attempt may be sent.
      *
-     * @param barred whether nothing may begin at its server any more
-     * @param leftMs what it would tell its server
+     * @param excluded whether no attempt may start at its server any more
+     * @param leftMs the time budget that would be sent to the server, in milliseconds
      */
-    static Verdict judge(UpstreamAttempt attempt, RequestClass kind, boolean barred, long leftMs,
+    static Decision decide(UpstreamAttempt attempt, RequestClass requestClass, boolean excluded, long leftMs,
             long nowUs) {
         if (attempt.ended) {
-            return Verdict.ATTEMPT_ENDED;
+            return Decision.ATTEMPT_ENDED;
         }
         if (attempt.request.isAnswered()) {
-            return Verdict.ANSWERED;
+            return Decision.ANSWERED;
         }
-        if (barred) {
-            return Verdict.SERVER_BARRED;
+        if (excluded) {
+            return Decision.SERVER_BARRED;
         }
         if (leftMs <= 0) {
-            return Verdict.NO_TIME_LEFT;
+            return Decision.NO_TIME_LEFT;
         }
-        if (!repeatsSafely(attempt, kind, nowUs)) {
-            return Verdict.MAY_HAVE_RUN;
+        if (!isSafeToRepeat(attempt, requestClass, nowUs)) {
+            return Decision.MAY_HAVE_RUN;
         }
-        return attempt.request.client.connected() ? Verdict.GO : Verdict.CLIENT_LEFT;
+        return attempt.request.client.isConnected() ? Decision.SEND : Decision.CLIENT_LEFT;
     }
 
-    /** Whether the request may be sent once more, after what became of its earlier attempts. */
-    static boolean repeatsSafely(UpstreamAttempt attempt, RequestClass kind, long nowUs) {
+    /** Returns whether the request may be sent again, given the outcomes of its earlier attempts. */
+    static boolean isSafeToRepeat(UpstreamAttempt attempt, RequestClass requestClass, long nowUs) {
         List<UpstreamAttempt> earlier = attempt.request.attempts.subList(0, attempt.number);
-        return switch (kind.effect()) {
+        return switch (requestClass.effect()) {
             case SAFE -> true;
             case UNSAFE -> earlier.stream().noneMatch(UpstreamAttempt::mayHaveRun);
             case KEYED -> earlier.stream().filter(UpstreamAttempt::mayHaveRun)
-                    .allMatch(first -> nowUs - first.sentAtUs < kind.dedupWindowUs());
+                    .allMatch(first -> nowUs - first.sentAtUs < requestClass.dedupWindowUs());
         };
     }
 }
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -348,7 +348,7 @@
         server.readHead();
         server.send("HTTP/1.1 200 OK\r\n\r\n").send(body, 0, answerBytes);
         // A large answer is being streamed by now; a small one is still buffered, unless the machine is slow.
-        String head = answerBytes > BackendPool.MOST_BODY ? client.readHead() : "";
+        String head = answerBytes > BackendPool.MAX_BUFFERED_BODY_BYTES ? client.readHead() : "";
         bench.awaitInputProcessed();
         server.socket.setSoLinger(true, 0);
         server.socket.close();
--- a/src/test/java/larkworks/proxy/ResourceLimitTest.java
+++ b/src/test/java/larkworks/proxy/ResourceLimitTest.java
@@ -110,7 +110,7 @@
     void usesHalfOfDescriptorsWhileAnotherProcessRuns() {
         Sockets sockets = new Sockets(200, 0);
         List<Integer> idleSockets = new ArrayList<>();
-        sockets.evictors(() -> {
+        sockets.setEvictors(() -> {
             if (idleSockets.isEmpty()) {
                 return false;
             }
@@ -119,15 +119,15 @@
             return true;
         });
         while (idleSockets.size() < 140) {
-            assertTrue(sockets.accepted());
+            assertTrue(sockets.addAccepted());
             idleSockets.add(idleSockets.size());
         }
-        sockets.share(true);
+        sockets.setLimitShared(true);
         assertTrue(idleSockets.size() <= 52, "open sockets exceed half the limit less the reserve: "
                 + idleSockets.size());
-        sockets.share(false);
+        sockets.setLimitShared(false);
         int idleBefore = idleSockets.size();
-        assertTrue(sockets.accepted());
+        assertTrue(sockets.addAccepted());
         assertEquals(idleBefore, idleSockets.size());
     }
 
