--- a/src/test/java/larkworks/proxy/ClientDisconnectTest.java
+++ b/src/test/java/larkworks/proxy/ClientDisconnectTest.java
@@ -47,7 +47,7 @@
         }
     }
 
-    // ---- disconnects while the loop is blocked: the sending timer runs before the disconnect is read
+    // ---- disconnects while the loop is blocked: the send timer runs before the disconnect is read
 
     @ParameterizedTest
     @EnumSource(Disconnect.class)
--- a/src/test/java/larkworks/proxy/ConnectionClosingTest.java
+++ b/src/test/java/larkworks/proxy/ConnectionClosingTest.java
@@ -120,7 +120,7 @@
         }
     }
 
-    // ---- connections without a request for a while
+    // ---- connections without a request in flight, and unproven ones
 
     /** The answers exceed the kernel's send buffer; the proxy keeps the rest while no request follows. */
     @Test
--- a/src/test/java/larkworks/proxy/ResourceLimitTest.java
+++ b/src/test/java/larkworks/proxy/ResourceLimitTest.java
@@ -66,7 +66,7 @@
 
     /**
      * The proxy closes the connections that are silent for longest, or rejects the newest. Otherwise an
-     * incomplete body stays buffered until its timeout, which is seconds.
+     * incomplete body stays buffered until its timeout, several seconds later.
      */
     @Test
     void limitsTotalBytesOfBufferedBodies() throws Exception {
--- a/src/test/java/larkworks/proxy/TestBench.java
+++ b/src/test/java/larkworks/proxy/TestBench.java
@@ -221,7 +221,7 @@
         }
     }
 
-    /** Starts the proxy with all backends configured as known. */
+    /** Starts the proxy with a configuration that already knows all backends. */
     TestBench start(Path directory) throws Exception {
         return start(directory, fullList(1));
     }
