--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -7,43 +7,48 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a choice of a server costs does not follow from how many there are. */
+/** The cost of choosing a server does not grow with the number of servers. */
 class ChoiceCostTest {
 
-    private static final int REQUESTS = 300;
-    private static final int FIRST_REQUESTS = 50;
-    /** Choices of a call with probes: those found idle, the next to be asked, any; each ends soon. */
-    private static final int MOST_LOOKS = 12;
+    private static final int MEASURED_REQUESTS = 300;
+    private static final int WARM_UP_REQUESTS = 50;
+    /**
+     * Upper bound on the servers examined for a call. A call with probes examines the servers found idle, the
+     * candidates for the next probe and the candidates for the call; each of these searches ends early.
+     */
+    private static final int MAX_SERVERS_EXAMINED_PER_CALL = 12;
 
-    /** Has a request served by a server whose probe, if any, finds it idle. */
-    private static void serve(Proxy proxy) {
-        int before = proxy.done.size();
-        String request = proxy.request(Proxy.SAFE);
-        for (String line : List.copyOf(proxy.done.subList(before, proxy.done.size()))) {
-            if (line.startsWith("probe ")) {
-                proxy.report(line.substring("probe ".length()), 0);
+    /** Sends a request, answers its probes with a load of 0 and ends its attempt successfully after 50 ms. */
+    private static void serveRequest(SimulatedProxy proxy) {
+        int actionsBefore = proxy.recordedActions.size();
+        String request = proxy.sendRequest(SimulatedProxy.SAFE);
+        for (String action : List.copyOf(
+                proxy.recordedActions.subList(actionsBefore, proxy.recordedActions.size()))) {
+            if (action.startsWith("probe ")) {
+                proxy.answerProbe(action.substring("probe ".length()), 0);
             }
         }
-        proxy.pass(50);
-        proxy.end(request, Balancer.Outcome.OK);
+        proxy.advanceMs(50);
+        proxy.endAttempt(request, Balancer.Outcome.OK);
     }
 
     @ParameterizedTest
     @CsvSource({"30,5,false", "3200,5,false", "3200,5,true", "3200,640,false", "3200,640,true"})
-    void aCallLooksAtFewServers(int servers, int copies, boolean probes) {
-        Proxy.Setup setup = new Proxy.Setup();
-        setup.copies = copies;
-        setup.probes = probes;
-        Proxy proxy = new Proxy(setup).with(IntStream.range(0, servers).mapToObj(i -> "s" + i)
-                .toArray(String[]::new));
-        for (int i = 0; i < FIRST_REQUESTS; i++) {
-            serve(proxy);
+    void choosingAServerExaminesABoundedNumberOfServers(int servers, int copies, boolean canProbe) {
+        SimulatedProxy.TestSettings settings = new SimulatedProxy.TestSettings();
+        settings.copies = copies;
+        settings.canProbe = canProbe;
+        SimulatedProxy proxy = new SimulatedProxy(settings).withServers(IntStream.range(0, servers)
+                .mapToObj(i -> "s" + i).toArray(String[]::new));
+        for (int i = 0; i < WARM_UP_REQUESTS; i++) {
+            serveRequest(proxy);
         }
-        long before = proxy.logic.serversExamined();
-        for (int i = 0; i < REQUESTS; i++) {
-            serve(proxy);
+        long examinedBefore = proxy.logic.serversExamined();
+        for (int i = 0; i < MEASURED_REQUESTS; i++) {
+            serveRequest(proxy);
         }
-        long looks = proxy.logic.serversExamined() - before;
-        assertTrue(looks <= (long) MOST_LOOKS * REQUESTS, looks + " looks for " + REQUESTS + " calls");
+        long examined = proxy.logic.serversExamined() - examinedBefore;
+        assertTrue(examined <= (long) MAX_SERVERS_EXAMINED_PER_CALL * MEASURED_REQUESTS,
+                examined + " servers examined for " + MEASURED_REQUESTS + " calls");
     }
 }
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -23,152 +23,158 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** The decisions, driven by hand through a fake of the actions. */
+/** Tests of the decision module: each test feeds it events and checks the actions that it requests. */
 class LogicTest {
 
-    private static final long MS = Proxy.MS;
+    private static final long US_PER_MS = SimulatedProxy.US_PER_MS;
 
-    private static Proxy.Setup setup() {
-        return new Proxy.Setup();
+    private static SimulatedProxy.TestSettings testSettings() {
+        return new SimulatedProxy.TestSettings();
     }
 
-    /** The ordinary path. */
+    /** Choice of a server while no server fails. */
     @Nested
-    class Pick {
+    class ServerChoice {
 
         @Test
-        void takesIdleServersBeforeBusyOnes() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c");
-            Set<String> taken = new HashSet<>();
+        void prefersIdleServersToBusyOnes() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
+            Set<String> usedServers = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                taken.add(p.at(p.request(Proxy.SAFE)));
+                usedServers.add(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
             }
-            assertEquals(Set.of("a", "b", "c"), taken);
+            assertEquals(Set.of("a", "b", "c"), usedServers);
         }
 
         @Test
-        void takesTheFewestInFlightWhenNoneIsIdle() {
-            Proxy p = new Proxy(setup()).with("a", "b");
-            String first = p.request(Proxy.SAFE);
-            p.request(Proxy.SAFE);
-            p.request(Proxy.SAFE);
-            p.request(Proxy.SAFE);
-            p.end(first, Outcome.OK);
-            String freed = p.at(first);
-            assertEquals(freed, p.at(p.request(Proxy.SAFE)));
+        void picksTheServerWithFewestInFlightWhenNoneIsIdle() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
+            String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.endAttempt(firstRequest, Outcome.OK);
+            String freedServer = proxy.latestServer(firstRequest);
+            assertEquals(freedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
         }
 
         @Test
-        void takesTheEarliestAssignedAmongIdleServers() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c");
-            String[] round = {p.serve(), p.serve(), p.serve()};
-            for (String server : round) {
-                assertEquals(server, p.serve());
+        void picksTheLeastRecentlyAssignedAmongIdleServers() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
+            String[] firstRound = {proxy.serveRequest(), proxy.serveRequest(), proxy.serveRequest()};
+            for (String server : firstRound) {
+                assertEquals(server, proxy.serveRequest());
             }
         }
 
         @Test
-        void takesNeverUsedServersInAnOrderOfTheCopysOwn() {
+        void picksUnusedServersInAnOrderThatDependsOnTheSeed() {
             Set<List<String>> orders = new HashSet<>();
             for (int seed = 0; seed < 20; seed++) {
-                Proxy p = new Proxy(setup(), seed).with("a", "b", "c");
-                orders.add(List.of(p.serve(), p.serve(), p.serve()));
+                SimulatedProxy proxy = new SimulatedProxy(testSettings(), seed).withServers("a", "b", "c");
+                orders.add(List.of(proxy.serveRequest(), proxy.serveRequest(), proxy.serveRequest()));
             }
             assertTrue(orders.size() > 2, "orders seen: " + orders);
         }
 
         @Test
-        void givesASlowServerFewerTurns() {
-            Proxy p = new Proxy(setup()).with("a", "b");
-            Map<String, Integer> turns = new HashMap<>();
+        void slowServerGetsFewerCalls() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
+            Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
-                String r = p.request(Proxy.SAFE);
-                String server = p.at(r);
-                turns.merge(server, 1, Integer::sum);
-                p.pass(100);
-                p.logic.outcome(p.now, r, 0, server, Outcome.OK, server.equals("a") ? 100 * MS : 50 * MS,
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String server = proxy.latestServer(request);
+                callsByServer.merge(server, 1, Integer::sum);
+                proxy.advanceMs(100);
+                proxy.logic.outcome(proxy.nowUs, request, 0, server, Outcome.OK,
+                        server.equals("a") ? 100 * US_PER_MS : 50 * US_PER_MS,
                         true, null);
             }
-            assertTrue(turns.get("a") * 1.4 < turns.get("b"), "turns: " + turns);
+            assertTrue(callsByServer.get("a") * 1.4 < callsByServer.get("b"),
+                    "calls by server: " + callsByServer);
         }
 
         @Test
-        void aServerRegisteredAsSmallGetsFewerTurnsBeforeItsTimesAreKnown() {
-            Proxy p = new Proxy(setup());
-            p.logic.serversChanged(p.now, ListKind.REMEMBERED, List.of(
+        void serverWithSmallRegisteredSizeGetsFewerCallsFromTheStart() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings());
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.REMEMBERED, List.of(
                     new Server("small", 0, 0, 0, 1, ServerStatus.UP),
                     new Server("large", 0, 0, 0, 3, ServerStatus.UP)));
-            Map<String, Integer> turns = new HashMap<>();
+            Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 40; i++) {
-                turns.merge(p.serve(), 1, Integer::sum);
+                callsByServer.merge(proxy.serveRequest(), 1, Integer::sum);
             }
-            assertTrue(turns.get("large") > 2 * turns.get("small"), "turns: " + turns);
+            assertTrue(callsByServer.get("large") > 2 * callsByServer.get("small"),
+                    "calls by server: " + callsByServer);
         }
 
         @Test
-        void aServerThatReportsMoreCallsThanTheOthersGetsFewerTurns() {
-            // Machines slower than registered choked one by one on equal turns.
-            Proxy p = new Proxy(setup()).with("a", "b");
-            Map<String, Integer> turns = new HashMap<>();
+        void serverThatReportsMoreInFlightCallsGetsFewerCalls() {
+            // Given equal numbers of calls, machines slower than registered were overloaded one by one.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
+            Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
-                String r = p.request(Proxy.SAFE);
-                String server = p.at(r);
-                turns.merge(server, 1, Integer::sum);
-                p.pass(50);
-                p.logic.outcome(p.now, r, 0, server, Outcome.OK, 50 * MS, true,
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String server = proxy.latestServer(request);
+                callsByServer.merge(server, 1, Integer::sum);
+                proxy.advanceMs(50);
+                proxy.logic.outcome(proxy.nowUs, request, 0, server, Outcome.OK, 50 * US_PER_MS, true,
                         new LoadReport(server.equals("a") ? 9 : 1, -1, -1));
             }
-            assertTrue(turns.get("a") * 1.4 < turns.get("b"), "turns: " + turns);
+            assertTrue(callsByServer.get("a") * 1.4 < callsByServer.get("b"),
+                    "calls by server: " + callsByServer);
         }
 
         @Test
-        void usesServersOfOtherZonesHalfAsOftenWhereCrossingsHaveAPriceAndLocksNoneOut() {
-            Proxy.Setup setup = setup();
-            setup.crossZonePrice = 0.01;
-            Proxy p = new Proxy(setup).with("near", "near2", "far", "far2");
-            Map<String, Integer> turns = new HashMap<>();
+        void crossZonePriceReducesCallsToOtherZonesWithoutExcludingThem() {
+            SimulatedProxy.TestSettings settings = testSettings();
+            settings.crossZonePrice = 0.01;
+            SimulatedProxy proxy = new SimulatedProxy(settings).withServers("near", "near2", "far", "far2");
+            Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
-                turns.merge(p.serve(), 1, Integer::sum);
+                callsByServer.merge(proxy.serveRequest(), 1, Integer::sum);
             }
-            assertTrue(turns.get("far") > 10, "turns: " + turns);
-            assertTrue(turns.get("far") * 1.5 < turns.get("near"), "turns: " + turns);
+            assertTrue(callsByServer.get("far") > 10, "calls by server: " + callsByServer);
+            assertTrue(callsByServer.get("far") * 1.5 < callsByServer.get("near"),
+                    "calls by server: " + callsByServer);
         }
 
         @Test
-        void sameEventsGiveTheSameActionsWhateverAnotherInstanceDoes() {
-            Proxy alone = new Proxy(setup(), 3).with("a", "b", "c");
-            Proxy beside = new Proxy(setup(), 3).with("a", "b", "c");
-            Proxy other = new Proxy(setup(), 4).with("a", "b", "c");
+        void actionsDependOnlyOnEventsAndSeedNotOnOtherInstances() {
+            SimulatedProxy proxyAlone = new SimulatedProxy(testSettings(), 3).withServers("a", "b", "c");
+            SimulatedProxy proxyBesideOther =
+                    new SimulatedProxy(testSettings(), 3).withServers("a", "b", "c");
+            SimulatedProxy otherProxy = new SimulatedProxy(testSettings(), 4).withServers("a", "b", "c");
             for (int i = 0; i < 50; i++) {
-                alone.serve();
-                other.request(Proxy.UNSAFE);
-                beside.serve();
+                proxyAlone.serveRequest();
+                otherProxy.sendRequest(SimulatedProxy.UNSAFE);
+                proxyBesideOther.serveRequest();
             }
-            assertEquals(alone.done, beside.done);
+            assertEquals(proxyAlone.recordedActions, proxyBesideOther.recordedActions);
         }
     }
 
-    /** The part of a large fleet that one copy takes turns among. */
+    /** The subset of a large fleet to which one copy sends its calls. */
     @Nested
-    class Subset {
+    class Subsetting {
 
-        private Map<String, Integer> copiesOf(int copies, List<Server> fleet,
-                Map<Integer, Set<String>> seen) {
-            Map<String, Integer> users = new HashMap<>();
+        private Map<String, Integer> countCopiesByServer(int copies, List<Server> fleet,
+                Map<Integer, Set<String>> serversByCopy) {
+            Map<String, Integer> copiesByServer = new HashMap<>();
             for (int copy = 0; copy < copies; copy++) {
-                Proxy.Setup setup = setup();
-                setup.copy = copy;
-                setup.copies = copies;
-                Proxy p = new Proxy(setup, copy);
-                p.logic.serversChanged(p.now, ListKind.REMEMBERED, fleet);
-                Set<String> used = new HashSet<>();
+                SimulatedProxy.TestSettings settings = testSettings();
+                settings.copy = copy;
+                settings.copies = copies;
+                SimulatedProxy proxy = new SimulatedProxy(settings, copy);
+                proxy.logic.serversChanged(proxy.nowUs, ListKind.REMEMBERED, fleet);
+                Set<String> usedServers = new HashSet<>();
                 for (int i = 0; i < 40; i++) {
-                    used.add(p.serve());
+                    usedServers.add(proxy.serveRequest());
                 }
-                used.forEach(s -> users.merge(s, 1, Integer::sum));
-                seen.put(copy, used);
+                usedServers.forEach(server -> copiesByServer.merge(server, 1, Integer::sum));
+                serversByCopy.put(copy, usedServers);
             }
-            return users;
+            return copiesByServer;
         }
 
         private List<Server> fleet(int from, int to) {
@@ -180,1145 +186,1197 @@
         }
 
         @Test
-        void manyCopiesEachTieThemselvesToFewServersOfALargeFleetEvenly() {
-            Map<Integer, Set<String>> seen = new HashMap<>();
-            Map<String, Integer> users = copiesOf(60, fleet(0, 60), seen);
-            assertEquals(60, users.size());
-            assertTrue(seen.values().stream().allMatch(s -> s.size() >= 9 && s.size() <= 11),
-                    seen.toString());
-            assertTrue(users.values().stream().allMatch(n -> n >= 9 && n <= 11), users.toString());
+        void manyCopiesUseSmallEvenlyDistributedSubsetsOfALargeFleet() {
+            Map<Integer, Set<String>> serversByCopy = new HashMap<>();
+            Map<String, Integer> copiesByServer = countCopiesByServer(60, fleet(0, 60), serversByCopy);
+            assertEquals(60, copiesByServer.size());
+            assertTrue(serversByCopy.values().stream().allMatch(s -> s.size() >= 9 && s.size() <= 11),
+                    serversByCopy.toString());
+            assertTrue(copiesByServer.values().stream().allMatch(n -> n >= 9 && n <= 11),
+                    copiesByServer.toString());
         }
 
         @Test
-        void aServerThatLeavesMovesFewOthers() {
-            Map<Integer, Set<String>> before = new HashMap<>();
-            Map<Integer, Set<String>> after = new HashMap<>();
-            copiesOf(30, fleet(0, 60), before);
-            copiesOf(30, fleet(1, 60), after);
-            int moved = 0;
-            for (int copy : before.keySet()) {
-                after.get(copy).removeAll(before.get(copy));
-                moved += after.get(copy).size();
+        void removalOfAServerChangesFewSubsetMembers() {
+            Map<Integer, Set<String>> serversByCopyBefore = new HashMap<>();
+            Map<Integer, Set<String>> serversByCopyAfter = new HashMap<>();
+            countCopiesByServer(30, fleet(0, 60), serversByCopyBefore);
+            countCopiesByServer(30, fleet(1, 60), serversByCopyAfter);
+            int addedServers = 0;
+            for (int copy : serversByCopyBefore.keySet()) {
+                serversByCopyAfter.get(copy).removeAll(serversByCopyBefore.get(copy));
+                addedServers += serversByCopyAfter.get(copy).size();
             }
-            assertTrue(moved <= 60, "servers newly used over 30 copies of about 10: " + moved);
+            assertTrue(addedServers <= 60,
+                    "servers added to the subsets of 30 copies, about 10 each: " + addedServers);
         }
     }
 
-    /** Demotion, rest and waiting. */
+    /** Demotion and ejection of servers, and calls that wait for a server. */
     @Nested
     class Failures {
 
         @Test
-        void aServerThatFailedOnceIsTakenOnlyWhenAllOthersAreBusy() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c");
+        void serverThatFailedOnceIsUsedOnlyWhenAllOthersAreBusy() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
             for (int i = 0; i < 3; i++) {
-                p.serve();
+                proxy.serveRequest();
             }
-            String r = p.request(Proxy.SAFE);
-            String bad = p.at(r);
-            p.end(r, Outcome.CONNECT_FAILED);
-            p.end(r, Outcome.OK);
-            assertNotEquals(bad, p.at(p.request(Proxy.SAFE)));
-            assertNotEquals(bad, p.at(p.request(Proxy.SAFE)));
-            assertEquals(bad, p.at(p.request(Proxy.SAFE)));
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String failedServer = proxy.latestServer(request);
+            proxy.endAttempt(request, Outcome.CONNECT_FAILED);
+            proxy.endAttempt(request, Outcome.OK);
+            assertNotEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            assertNotEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            assertEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
         }
 
         @Test
-        void restsAfterFailuresInARowAndReturnsAfterAWhile() {
-            Proxy p = new Proxy(setup()).with("a");
+        void ejectsAServerAfterConsecutiveFailuresAndUsesItAgainLater() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
             for (int i = 0; i < 2; i++) {
-                String r = p.request(Proxy.SAFE);
-                assertEquals("a", p.at(r));
-                p.end(r, Outcome.CONNECT_FAILED);
-                p.pass(1_000);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                assertEquals("a", proxy.latestServer(request));
+                proxy.endAttempt(request, Outcome.CONNECT_FAILED);
+                proxy.advanceMs(1_000);
             }
-            String held = p.request(Proxy.SAFE);
-            assertNull(p.at(held));
-            p.pass(4_000);
-            assertEquals("a", p.at(p.request(Proxy.SAFE)));
+            String waitingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            assertNull(proxy.latestServer(waitingRequest));
+            proxy.advanceMs(4_000);
+            assertEquals("a", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
         }
 
         @Test
-        void restsLongerAtEachFurtherFailure() {
-            // A server whose connections are all taken would be crowded further by ever more tries.
-            Proxy p = new Proxy(setup()).with("a");
-            long[] pauses = new long[2];
+        void ejectionGetsLongerWithEachFurtherFailure() {
+            // Frequent retries would add load to a server that has no free connection.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
+            long[] ejectionsUs = new long[2];
             for (int i = 0; i < 5; i++) {
-                String r = p.request(Proxy.SAFE);
-                long asked = p.now;
-                while (p.at(r) == null) {
-                    p.pass(100);
-                    r = p.at(r) == null ? p.request(Proxy.SAFE) : r;
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                long requestedAtUs = proxy.nowUs;
+                while (proxy.latestServer(request) == null) {
+                    proxy.advanceMs(100);
+                    request = proxy.latestServer(request) == null ? proxy.sendRequest(SimulatedProxy.SAFE)
+                            : request;
                 }
                 if (i >= 3) {
-                    pauses[i - 3] = p.now - asked;
+                    ejectionsUs[i - 3] = proxy.nowUs - requestedAtUs;
                 }
-                p.end(r, Outcome.CONNECT_FAILED);
+                proxy.endAttempt(request, Outcome.CONNECT_FAILED);
             }
-            assertTrue(pauses[1] > pauses[0] * 3 / 2, pauses[0] + " then " + pauses[1]);
+            assertTrue(ejectionsUs[1] > ejectionsUs[0] * 3 / 2, ejectionsUs[0] + " then " + ejectionsUs[1]);
         }
 
         @Test
-        void waitsWhileAllRestAndFailsWhenTimeRunsShort() {
-            Proxy p = new Proxy(setup()).with();
-            String r = p.request(Proxy.UNSAFE);
-            p.pass(2_000);
-            assertEquals(List.of("fail " + r), p.done);
+        void callWaitsWithoutServersAndFailsNearItsDeadline() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers();
+            String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+            proxy.advanceMs(2_000);
+            assertEquals(List.of("fail " + request), proxy.recordedActions);
         }
 
         @Test
-        void sendsAHeldCallWhenAServerAppears() {
-            Proxy p = new Proxy(setup()).with();
-            String r = p.request(Proxy.SAFE);
-            p.change("a", 0, ServerStatus.UP);
-            p.pass(390);
-            String next = p.request(Proxy.SAFE);
-            p.pass(390);
-            assertTrue("a".equals(p.at(r)) || "a".equals(p.at(next)));
+        void sendsAWaitingCallWhenAServerIsAdded() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers();
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.updateServer("a", 0, ServerStatus.UP);
+            proxy.advanceMs(390);
+            String secondRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.advanceMs(390);
+            assertTrue("a".equals(proxy.latestServer(request))
+                    || "a".equals(proxy.latestServer(secondRequest)));
         }
 
         @Test
-        void aServerThatErrsFarMoreThanTheOthersRests() {
-            // A server that errs at once is always idle: it would draw ever more calls.
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
-            int errors = 0;
+        void ejectsAServerWithAMuchHigherErrorRateThanTheOthers() {
+            // A server that answers errors at once is always idle and would attract more and more calls.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
+            int failedCalls = 0;
             for (int i = 0; i < 200; i++) {
-                String r = p.request(Proxy.UNSAFE);
-                p.pass(20);
-                boolean bad = "a".equals(p.at(r));
-                errors += bad ? 1 : 0;
-                p.end(r, bad ? Outcome.ERROR : Outcome.OK);
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+                proxy.advanceMs(20);
+                boolean isFailingServer = "a".equals(proxy.latestServer(request));
+                failedCalls += isFailingServer ? 1 : 0;
+                proxy.endAttempt(request, isFailingServer ? Outcome.ERROR : Outcome.OK);
             }
-            assertTrue(errors < 12, "errors: " + errors);
+            assertTrue(failedCalls < 12, "calls that failed: " + failedCalls);
         }
 
         @Test
-        void errorsOfAllServersAlikeRestNone() {
-            // A failing tier below shows as errors at every server: resting them would only add to the harm.
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
+        void equalErrorRatesOfAllServersEjectNone() {
+            // A failing tier below causes errors at every server; ejecting servers would only cost capacity.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String r = p.request(Proxy.UNSAFE);
-                assertNotNull(p.at(r));
-                p.pass(20);
-                p.end(r, Outcome.ERROR);
-                // Enough is served for calls to be begun as before.
-                p.serve();
-                p.serve();
-                p.serve();
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+                assertNotNull(proxy.latestServer(request));
+                proxy.advanceMs(20);
+                proxy.endAttempt(request, Outcome.ERROR);
+                // Enough calls succeed for the congestion control not to reject calls.
+                proxy.serveRequest();
+                proxy.serveRequest();
+                proxy.serveRequest();
             }
         }
 
         @Test
-        void aServerThatStaysSilentRests() {
-            // Connections stand and probes are answered, yet no call is: only overdue calls tell.
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
+        void ejectsAServerThatDoesNotAnswerCalls() {
+            // A hung server accepts connections and answers probes; only calls past their deadline reveal it.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 8; i++) {
-                p.serve();
+                proxy.serveRequest();
             }
-            int lost = 0;
+            int lostCalls = 0;
             for (int i = 0; i < 40; i++) {
-                String r = p.request(Proxy.UNSAFE);
-                if ("a".equals(p.at(r))) {
-                    lost++;
-                    p.pass(1_000);
-                    p.end(r, Outcome.TIMEOUT);
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+                if ("a".equals(proxy.latestServer(request))) {
+                    lostCalls++;
+                    proxy.advanceMs(1_000);
+                    proxy.endAttempt(request, Outcome.TIMEOUT);
                 } else {
-                    p.pass(50);
-                    p.end(r, Outcome.OK);
+                    proxy.advanceMs(50);
+                    proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            assertTrue(lost <= 3, "calls lost: " + lost);
+            assertTrue(lostCalls <= 3, "calls lost: " + lostCalls);
         }
     }
 
-    /** Rule 1: one final answer in time, and nothing after it. */
+    /** Rule 1: each request gets one final answer before its deadline, and nothing after it. */
     @Nested
-    class OneAnswer {
+    class SingleFinalAnswer {
 
         @Test
-        void failsWithNoServerKnownBeforeTheDeadline() {
-            Proxy p = new Proxy(setup()).with();
-            String r = p.request(Proxy.SAFE);
-            p.pass(1_000);
-            assertEquals(1, p.count("fail " + r) + p.count("refuse " + r));
-            p.change("a", 0, ServerStatus.UP);
-            p.pass(10_000);
-            assertEquals(0, p.count("send " + r));
+        void failsBeforeTheDeadlineWhenNoServerIsKnown() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers();
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.advanceMs(1_000);
+            assertEquals(1, proxy.countActions("fail " + request) + proxy.countActions("refuse " + request));
+            proxy.updateServer("a", 0, ServerStatus.UP);
+            proxy.advanceMs(10_000);
+            assertEquals(0, proxy.countActions("send " + request));
         }
 
         @Test
         void answersOnceAfterATimeoutAtTheDeadline() {
-            Proxy p = new Proxy(setup()).with("a");
-            String r = p.request(Proxy.UNSAFE);
-            p.pass(1_000);
-            p.end(r, Outcome.TIMEOUT);
-            p.pass(1_000);
-            assertEquals(1, p.count("fail " + r));
-            assertEquals(1, p.count("send " + r));
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
+            String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+            proxy.advanceMs(1_000);
+            proxy.endAttempt(request, Outcome.TIMEOUT);
+            proxy.advanceMs(1_000);
+            assertEquals(1, proxy.countActions("fail " + request));
+            assertEquals(1, proxy.countActions("send " + request));
         }
 
         @Test
-        void owesNothingOnceTheClientHasGone() {
-            Proxy p = new Proxy(setup()).with("a", "b");
-            String r = p.request(Proxy.SAFE);
-            p.logic.clientGone(p.now, r);
-            p.end(r, Outcome.ERROR);
-            p.pass(2_000);
-            assertEquals(0, p.count("fail") + p.count("refuse"));
-            assertEquals(1, p.count("send"));
-            assertTrue(p.did("cancel " + r + " 0"));
+        void givesNoAnswerAfterTheClientHasDisconnected() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.logic.clientGone(proxy.nowUs, request);
+            proxy.endAttempt(request, Outcome.ERROR);
+            proxy.advanceMs(2_000);
+            assertEquals(0, proxy.countActions("fail") + proxy.countActions("refuse"));
+            assertEquals(1, proxy.countActions("send"));
+            assertTrue(proxy.hasAction("cancel " + request + " 0"));
         }
 
         @Test
-        void passesOverIdsNoLongerHeld() {
-            Proxy p = new Proxy(setup()).with("a");
-            p.serve();
-            int before = p.done.size();
-            p.logic.clientGone(p.now, "r0");
-            p.logic.outcome(p.now, "r0", 0, "a", Outcome.OK, 1, true, null);
-            p.logic.outcome(p.now, "unknown", 3, "a", Outcome.ERROR, 1, false, null);
-            assertEquals(before, p.done.size());
+        void ignoresEventsForUnknownOrEndedRequests() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
+            proxy.serveRequest();
+            int actionsBefore = proxy.recordedActions.size();
+            proxy.logic.clientGone(proxy.nowUs, "r0");
+            proxy.logic.outcome(proxy.nowUs, "r0", 0, "a", Outcome.OK, 1, true, null);
+            proxy.logic.outcome(proxy.nowUs, "unknown", 3, "a", Outcome.ERROR, 1, false, null);
+            assertEquals(actionsBefore, proxy.recordedActions.size());
         }
 
         @Test
-        void neverSendsForARequestThatEndedWhileItWaited() {
-            Proxy p = new Proxy(setup()).with();
-            String r = p.request(Proxy.SAFE);
-            p.logic.clientGone(p.now, r);
-            p.change("a", 0, ServerStatus.UP);
-            p.pass(2_000);
-            assertEquals(0, p.count("send"));
+        void doesNotSendARequestWhoseClientLeftWhileItWaited() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers();
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.logic.clientGone(proxy.nowUs, request);
+            proxy.updateServer("a", 0, ServerStatus.UP);
+            proxy.advanceMs(2_000);
+            assertEquals(0, proxy.countActions("send"));
         }
     }
 
-    /** Rule 2: no effect twice. */
+    /** Rule 2: a request takes effect at most once. */
     @Nested
-    class Effects {
+    class SingleEffect {
 
         @Test
-        void anUnsafeCallIsSentAgainOnlyWhenItIsKnownNotToHaveRun() {
+        void unsafeCallIsRetriedOnlyIfItProvablyDidNotRun() {
             for (Outcome outcome : Outcome.values()) {
                 if (outcome == Outcome.OK) {
                     continue;
                 }
-                Proxy p = new Proxy(setup()).with("a", "b");
-                String r = p.request(Proxy.UNSAFE);
-                p.end(r, outcome);
-                assertEquals(outcome.provesNotRun ? 2 : 1, p.count("send " + r), outcome.name());
+                SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+                proxy.endAttempt(request, outcome);
+                assertEquals(outcome.provesNotRun ? 2 : 1, proxy.countActions("send " + request),
+                        outcome.name());
                 if (!outcome.provesNotRun) {
-                    assertEquals(1, p.count("fail " + r), outcome.name());
-                    assertEquals(0, p.count("refuse " + r), outcome.name());
+                    assertEquals(1, proxy.countActions("fail " + request), outcome.name());
+                    assertEquals(0, proxy.countActions("refuse " + request), outcome.name());
                 }
             }
         }
 
         @Test
-        void anUnsafeCallThatIsOverdueGetsNoSecondCopy() {
-            Proxy.Setup setup = setup();
-            setup.secondCopies = true;
-            Proxy p = new Proxy(setup).with("a", "b", "c");
-            p.serve();
-            String r = p.request(Proxy.UNSAFE);
-            p.pass(900);
-            assertEquals(1, p.count("send " + r));
+        void slowUnsafeCallIsNotHedged() {
+            SimulatedProxy.TestSettings settings = testSettings();
+            settings.canHedge = true;
+            SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
+            proxy.serveRequest();
+            String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+            proxy.advanceMs(900);
+            assertEquals(1, proxy.countActions("send " + request));
         }
 
         @Test
-        void aSafeCallThatIsOverdueGetsOneOnlyWhereThatIsAllowed() {
-            for (boolean allowed : new boolean[] {true, false}) {
-                Proxy.Setup setup = setup();
-                setup.secondCopies = allowed;
-                Proxy p = new Proxy(setup).with("a", "b", "c");
-                p.serve();
-                String r = p.request(Proxy.SAFE);
-                p.pass(300);
-                assertEquals(allowed ? 2 : 1, p.count("send " + r));
-                if (allowed) {
-                    p.end(r, 1, Outcome.OK);
-                    assertTrue(p.did("cancel " + r + " 0"));
+        void slowSafeCallIsHedgedOnlyIfHedgingIsAllowed() {
+            for (boolean canHedge : new boolean[] {true, false}) {
+                SimulatedProxy.TestSettings settings = testSettings();
+                settings.canHedge = canHedge;
+                SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
+                proxy.serveRequest();
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(300);
+                assertEquals(canHedge ? 2 : 1, proxy.countActions("send " + request));
+                if (canHedge) {
+                    proxy.endAttempt(request, 1, Outcome.OK);
+                    assertTrue(proxy.hasAction("cancel " + request + " 0"));
                 }
             }
         }
 
         @Test
-        void aKeyedCallStaysInItsZoneAndWindow() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
-            String r = p.request(Proxy.KEYED_IN_ZONE);
-            String first = p.at(r);
-            p.end(r, Outcome.ERROR);
-            assertEquals("ab".contains(first), "ab".contains(p.at(r)));
-            assertNotEquals(first, p.at(r));
-            p.end(r, Outcome.ERROR);
-            p.pass(1_000);
-            assertEquals(2, p.count("send " + r));
-            assertEquals(1, p.count("fail " + r));
+        void keyedCallIsRetriedOnlyWithinItsZone() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
+            String request = proxy.sendRequest(SimulatedProxy.KEYED_IN_ZONE);
+            String firstServer = proxy.latestServer(request);
+            proxy.endAttempt(request, Outcome.ERROR);
+            assertEquals("ab".contains(firstServer), "ab".contains(proxy.latestServer(request)));
+            assertNotEquals(firstServer, proxy.latestServer(request));
+            proxy.endAttempt(request, Outcome.ERROR);
+            proxy.advanceMs(1_000);
+            assertEquals(2, proxy.countActions("send " + request));
+            assertEquals(1, proxy.countActions("fail " + request));
         }
 
         @Test
-        void aKeyedCallIsNotSentAgainAfterItsWindow() {
-            Proxy.Setup setup = setup();
-            setup.aimUs = 1_000 * MS;
-            Proxy p = new Proxy(setup).with("a", "b");
-            String r = p.request(Proxy.KEYED);
-            p.pass(601);
-            p.end(r, Outcome.ERROR);
-            assertEquals(1, p.count("send " + r));
+        void keyedCallIsNotRetriedAfterItsDedupWindow() {
+            SimulatedProxy.TestSettings settings = testSettings();
+            settings.aimUs = 1_000 * US_PER_MS;
+            SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b");
+            String request = proxy.sendRequest(SimulatedProxy.KEYED);
+            proxy.advanceMs(601);
+            proxy.endAttempt(request, Outcome.ERROR);
+            assertEquals(1, proxy.countActions("send " + request));
         }
 
         @Test
-        void aKeyedCallThatWaitedBeyondItsWindowIsNotSentAgain() {
-            Proxy.Setup setup = setup();
-            setup.aimUs = 950 * MS;
-            Proxy p = new Proxy(setup).with("a");
-            String r = p.request(Proxy.KEYED);
-            p.pass(50);
-            p.end(r, Outcome.RESET);
-            assertEquals(1, p.attempts.get(r), "no other server yet");
-            p.pass(600);
-            p.change("b", 0, ServerStatus.UP);
-            p.pass(300);
-            assertEquals(1, p.attempts.get(r));
-            assertTrue(p.did("refuse " + r) || p.did("fail " + r), "one final answer: " + p.done);
+        void keyedCallThatWaitedBeyondItsDedupWindowIsNotRetried() {
+            SimulatedProxy.TestSettings settings = testSettings();
+            settings.aimUs = 950 * US_PER_MS;
+            SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a");
+            String request = proxy.sendRequest(SimulatedProxy.KEYED);
+            proxy.advanceMs(50);
+            proxy.endAttempt(request, Outcome.RESET);
+            assertEquals(1, proxy.attemptCounts.get(request), "no other server is known yet");
+            proxy.advanceMs(600);
+            proxy.updateServer("b", 0, ServerStatus.UP);
+            proxy.advanceMs(300);
+            assertEquals(1, proxy.attemptCounts.get(request));
+            assertTrue(proxy.hasAction("refuse " + request) || proxy.hasAction("fail " + request),
+                    "refused or failed expected, actions: " + proxy.recordedActions);
         }
 
         @Test
-        void retriesAreBudgeted() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
+        void retriesStayWithinTheRetryBudget() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String r = p.request(Proxy.SAFE);
-                while (p.count("fail " + r) + p.count("refuse " + r) == 0) {
-                    p.end(r, Outcome.ERROR);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                while (proxy.countActions("fail " + request) + proxy.countActions("refuse " + request) == 0) {
+                    proxy.endAttempt(request, Outcome.ERROR);
                 }
-                p.pass(20);
+                proxy.advanceMs(20);
             }
-            assertTrue(p.count("send") <= 100 + 5 + 10, "sends: " + p.count("send"));
+            assertTrue(proxy.countActions("send") <= 100 + 5 + 10, "sends: " + proxy.countActions("send"));
         }
 
         @Test
-        void attemptsAreLimited() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d", "e", "f");
-            String r = p.request(Proxy.SAFE);
-            while (p.count("fail " + r) + p.count("refuse " + r) == 0) {
-                p.end(r, Outcome.FULL);
+        void attemptsStayWithinMaxAttempts() {
+            SimulatedProxy proxy =
+                    new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d", "e", "f");
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            while (proxy.countActions("fail " + request) + proxy.countActions("refuse " + request) == 0) {
+                proxy.endAttempt(request, Outcome.FULL);
             }
-            assertEquals(4, p.count("send " + r));
+            assertEquals(4, proxy.countActions("send " + request));
         }
     }
 
-    /** Rule 3: drains are kept, and the list is followed. */
+    /** Rule 3: draining servers get no calls, and changes of the list are followed. */
     @Nested
-    class Servers {
+    class ServerList {
 
         @Test
-        void sendsNothingToAServerThatDrainsIsGoneOrIsMissing() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
-            p.change("a", 0, ServerStatus.DRAINING);
-            p.change("b", 0, ServerStatus.GONE);
-            p.logic.serversChanged(p.now, ListKind.WHOLE, List.of(
+        void sendsNothingToDrainingRemovedOrUnlistedServers() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
+            proxy.updateServer("a", 0, ServerStatus.DRAINING);
+            proxy.updateServer("b", 0, ServerStatus.GONE);
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.WHOLE, List.of(
                     new Server("a", 0, 0, 0, 1, ServerStatus.DRAINING), new Server("d", 0, 0, 0,
                             1, ServerStatus.UP)));
             for (int i = 0; i < 10; i++) {
-                assertEquals("d", p.at(p.request(Proxy.SAFE)));
-                p.pass(20);
-                p.end("r" + i, Outcome.OK);
+                assertEquals("d", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+                proxy.advanceMs(20);
+                proxy.endAttempt("r" + i, Outcome.OK);
             }
         }
 
         @Test
-        void asksDiscoveryAgainWithGrowingPauses() {
-            Proxy.Setup setup = setup();
-            setup.watch = true;
-            Proxy p = new Proxy(setup).with("a");
-            assertEquals(1, p.count("watch"));
-            long last = 0;
+        void watchRetriesUseIncreasingBoundedDelays() {
+            SimulatedProxy.TestSettings settings = testSettings();
+            settings.watchesDiscovery = true;
+            SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a");
+            assertEquals(1, proxy.countActions("watch"));
+            long delayUs = 0;
             for (int i = 1; i < 6; i++) {
-                p.logic.discoveryFailed(p.now);
-                long failed = p.now;
-                while (p.count("watch") == i) {
-                    p.pass(10);
+                proxy.logic.discoveryFailed(proxy.nowUs);
+                long failedAtUs = proxy.nowUs;
+                while (proxy.countActions("watch") == i) {
+                    proxy.advanceMs(10);
                 }
-                last = p.now - failed;
-                assertTrue(last < 8_000 * MS, "pause " + last);
+                delayUs = proxy.nowUs - failedAtUs;
+                assertTrue(delayUs < 8_000 * US_PER_MS, "pause in us: " + delayUs);
             }
-            assertTrue(last > 500 * MS, "pause " + last);
+            assertTrue(delayUs > 500 * US_PER_MS, "last pause in us: " + delayUs);
         }
 
         @Test
-        void startsANewWatchAfterAFailureAndDoesNotGoOnWithTheOldOne() {
+        void startsANewWatchAboutASecondAfterAFailure() {
             for (int seed = 0; seed < 50; seed++) {
-                Proxy.Setup setup = setup();
-                setup.watch = true;
-                Proxy p = new Proxy(setup, seed).with("a");
-                assertEquals(1, p.count("watch"));
-                p.logic.discoveryFailed(p.now);
-                p.pass(900);
-                assertEquals(1, p.count("watch"), "seed " + seed);
-                p.pass(400);
-                assertEquals(2, p.count("watch"), "seed " + seed);
+                SimulatedProxy.TestSettings settings = testSettings();
+                settings.watchesDiscovery = true;
+                SimulatedProxy proxy = new SimulatedProxy(settings, seed).withServers("a");
+                assertEquals(1, proxy.countActions("watch"));
+                proxy.logic.discoveryFailed(proxy.nowUs);
+                proxy.advanceMs(900);
+                assertEquals(1, proxy.countActions("watch"), "seed " + seed);
+                proxy.advanceMs(400);
+                assertEquals(2, proxy.countActions("watch"), "seed " + seed);
             }
         }
 
         @Test
-        void followsNoListUnaskedWhereItIsPushed() {
-            Proxy p = new Proxy(setup()).with("a");
-            p.logic.discoveryFailed(p.now);
-            assertEquals(0, p.count("watch"));
+        void startsNoWatchWhenTheListIsPushed() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
+            proxy.logic.discoveryFailed(proxy.nowUs);
+            assertEquals(0, proxy.countActions("watch"));
         }
     }
 
-    /** Rule 4: a cold server gets a paced share that holds for all copies together. */
+    /** Rule 4: the calls that all copies together send to a cold server stay below its share. */
     @Nested
     class ColdServers {
 
         @Test
-        void allCopiesTogetherSendAColdServerLessThanItsShare() {
-            int cold = 0;
-            int warm = 0;
+        void allCopiesTogetherSendAColdServerLessThanAWarmServersShare() {
+            int coldServerCalls = 0;
+            int warmServerCalls = 0;
             for (int copy = 0; copy < 20; copy++) {
-                Proxy p = new Proxy(setup(), copy).with("a", "b", "c", "d");
+                SimulatedProxy proxy =
+                        new SimulatedProxy(testSettings(), copy).withServers("a", "b", "c", "d");
                 for (int i = 0; i < 20; i++) {
-                    p.serve();
+                    proxy.serveRequest();
                 }
-                p.change("new", p.now, ServerStatus.UP);
+                proxy.updateServer("new", proxy.nowUs, ServerStatus.UP);
                 for (int i = 0; i < 40; i++) {
-                    String server = p.serve();
-                    cold += server.equals("new") ? 1 : 0;
-                    warm += server.equals("new") ? 0 : 1;
+                    String server = proxy.serveRequest();
+                    coldServerCalls += server.equals("new") ? 1 : 0;
+                    warmServerCalls += server.equals("new") ? 0 : 1;
                 }
             }
-            assertTrue(cold > 0, "a cold server must get some work");
-            assertTrue(cold < 0.6 * warm / 4, cold + " calls cold, " + warm / 4 + " to each warm server");
+            assertTrue(coldServerCalls > 0, "a cold server must get some work");
+            assertTrue(coldServerCalls < 0.6 * warmServerCalls / 4,
+                    coldServerCalls + " calls to the cold server, "
+                    + warmServerCalls / 4 + " to each warm server");
         }
 
         @Test
-        void copiesDoNotPounceOnANewServerAtOnce() {
-            int pounced = 0;
+        void copiesDoNotAllSendToANewServerAtOnce() {
+            int copiesUsingNewServer = 0;
             for (int copy = 0; copy < 40; copy++) {
-                Proxy p = new Proxy(setup(), copy).with("a", "b", "c", "d");
+                SimulatedProxy proxy =
+                        new SimulatedProxy(testSettings(), copy).withServers("a", "b", "c", "d");
                 for (int i = 0; i < 20; i++) {
-                    p.serve();
+                    proxy.serveRequest();
                 }
-                p.change("new", p.now, ServerStatus.UP);
-                pounced += "new".equals(p.serve()) ? 1 : 0;
+                proxy.updateServer("new", proxy.nowUs, ServerStatus.UP);
+                copiesUsingNewServer += "new".equals(proxy.serveRequest()) ? 1 : 0;
             }
-            assertTrue(pounced < 12, pounced + " of 40 copies took the new server first");
+            assertTrue(copiesUsingNewServer < 12,
+                    copiesUsingNewServer + " of 40 copies took the new server first");
         }
 
         @Test
-        void theWaitOfAColdServerIsReckonedByWhatItCanDoNow() {
-            // Waits set at its start lasted for minutes at copies with few calls, long after it was warm.
+        void delayBeforeAColdServersNextCallFollowsItsPresentCapacity() {
+            // A delay computed once at the server's start kept copies with few calls from using it for
+            // minutes, long after it was warm.
             for (int seed = 0; seed < 20; seed++) {
-                Proxy p = new Proxy(setup(), seed).with("a", "b", "c", "d", "e", "f", "g", "h", "i", "j");
+                SimulatedProxy proxy = new SimulatedProxy(testSettings(), seed).withServers("a", "b", "c",
+                        "d", "e", "f", "g", "h", "i", "j");
                 for (int i = 0; i < 20; i++) {
-                    p.serve();
-                    p.pass(1_950);
+                    proxy.serveRequest();
+                    proxy.advanceMs(1_950);
                 }
-                p.change("new", p.now, ServerStatus.UP);
-                Set<String> used = new HashSet<>();
+                proxy.updateServer("new", proxy.nowUs, ServerStatus.UP);
+                Set<String> usedServers = new HashSet<>();
                 for (int i = 0; i < 14; i++) {
-                    used.add(p.serve());
-                    p.pass(1_950);
+                    usedServers.add(proxy.serveRequest());
+                    proxy.advanceMs(1_950);
                 }
-                assertTrue(used.contains("new"), "not used in 28 s, cold for 8, by seed " + seed);
+                assertTrue(usedServers.contains("new"),
+                        "not used within 28 s, though cold for only 8 s; seed " + seed);
             }
         }
 
         @Test
-        void aRestartUnderTheSameIdIsCold() {
-            Proxy p = new Proxy(setup()).with("a", "b");
+        void serverRestartedUnderTheSameIdIsCold() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             for (int i = 0; i < 10; i++) {
-                p.serve();
+                proxy.serveRequest();
             }
-            p.change("a", p.now, ServerStatus.UP);
-            int calls = 0;
+            proxy.updateServer("a", proxy.nowUs, ServerStatus.UP);
+            int callsToRestartedServer = 0;
             for (int i = 0; i < 10; i++) {
-                calls += p.serve().equals("a") ? 1 : 0;
+                callsToRestartedServer += proxy.serveRequest().equals("a") ? 1 : 0;
             }
-            assertTrue(calls <= 4, "calls to the restarted server: " + calls);
+            assertTrue(callsToRestartedServer <= 4,
+                    "calls to the restarted server: " + callsToRestartedServer);
         }
     }
 
-    /** The exceptions to the ordinary path. */
+    /** Probes, overload, congestion and quotas of tenants. */
     @Nested
-    class Exceptions {
+    class ProbesAndOverload {
 
-        private Proxy.Setup probing() {
-            Proxy.Setup setup = setup();
-            setup.probes = true;
-            return setup;
+        private SimulatedProxy.TestSettings probingSettings() {
+            SimulatedProxy.TestSettings settings = testSettings();
+            settings.canProbe = true;
+            return settings;
         }
 
         @Test
-        void asksTwoServersAndTakesTheFirstFoundIdle() {
-            Proxy p = new Proxy(probing()).with("a", "b", "c", "d");
-            p.report("d", 3);
-            String r = p.request(Proxy.SAFE);
-            assertEquals(2, p.count("probe"));
-            assertNull(p.at(r));
-            String busy = p.done.get(0).substring(6);
-            String idle = p.done.get(1).substring(6);
-            p.now += MS;
-            p.report(busy, 1);
-            assertNull(p.at(r));
-            p.report(idle, 0);
-            assertEquals(idle, p.at(r));
+        void probesTwoServersAndUsesTheFirstFoundIdle() {
+            SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
+            proxy.answerProbe("d", 3);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            assertEquals(2, proxy.countActions("probe"));
+            assertNull(proxy.latestServer(request));
+            String busyServer = proxy.recordedActions.get(0).substring(6);
+            String idleServer = proxy.recordedActions.get(1).substring(6);
+            proxy.nowUs += US_PER_MS;
+            proxy.answerProbe(busyServer, 1);
+            assertNull(proxy.latestServer(request));
+            proxy.answerProbe(idleServer, 0);
+            assertEquals(idleServer, proxy.latestServer(request));
         }
 
         @Test
-        void aServerThatIsNeverIdleIsNotAskedFirstEachTime() {
-            // Hung servers keep their backlog and were never assigned: each call asked them first, and the
-            // load they
-            // reported passed for that of all others, until nothing was sent any more.
-            Proxy p = new Proxy(probing()).with("a", "b", "c", "d", "e", "f", "g", "h");
+        void serverThatIsNeverIdleIsNotProbedForEachCall() {
+            // Hung servers keep their backlog and were never assigned a call, so each call probed them first.
+            // The load that they reported was assumed for all other servers, until nothing was sent any more.
+            SimulatedProxy proxy =
+                    new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d", "e", "f", "g", "h");
             for (int i = 0; i < 60; i++) {
-                int seen = p.done.size();
-                String r = p.request(Proxy.SAFE);
-                for (int ms = 0; ms < 20; ms++) {
-                    p.pass(1);
-                    for (; seen < p.done.size(); seen++) {
-                        String line = p.done.get(seen);
-                        if (line.startsWith("probe")) {
-                            p.report(line.substring(6), line.endsWith("a") || line.endsWith("b") ? 6 : 0);
+                int nextActionIndex = proxy.recordedActions.size();
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                for (int elapsedMs = 0; elapsedMs < 20; elapsedMs++) {
+                    proxy.advanceMs(1);
+                    for (; nextActionIndex < proxy.recordedActions.size(); nextActionIndex++) {
+                        String action = proxy.recordedActions.get(nextActionIndex);
+                        if (action.startsWith("probe")) {
+                            proxy.answerProbe(action.substring(6),
+                                    action.endsWith("a") || action.endsWith("b") ? 6 : 0);
                         }
                     }
                 }
-                assertNotNull(p.at(r), "request " + i + " was not sent");
-                p.pass(50);
-                p.end(r, Outcome.OK);
-                p.pass(500);
+                assertNotNull(proxy.latestServer(request), "request " + i + " was not sent");
+                proxy.advanceMs(50);
+                proxy.endAttempt(request, Outcome.OK);
+                proxy.advanceMs(500);
             }
-            assertTrue(p.count("probe a") + p.count("probe b") < 45, "asked in vain: " + p.count("probe a"));
+            assertTrue(proxy.countActions("probe a") + proxy.countActions("probe b") < 45,
+                    "probes to hung servers: "
+                    + (proxy.countActions("probe a") + proxy.countActions("probe b")));
         }
 
         @Test
-        void asksOneServerAtATimeWhileLoadsAreLight() {
-            // Two probes for each call cost quiet days more than the second one ever found.
-            Proxy p = new Proxy(probing()).with("a", "b", "c", "d");
-            String r = p.request(Proxy.SAFE);
-            assertEquals(1, p.count("probe"));
-            String asked = p.done.get(0).substring(6);
-            p.now += MS;
-            p.report(asked, 0);
-            assertEquals(asked, p.at(r));
+        void probesOneServerAtATimeUnderLightLoad() {
+            // Under light load the first probed server is nearly always idle, so a second probe is
+            // wasted cost.
+            SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            assertEquals(1, proxy.countActions("probe"));
+            String probedServer = proxy.recordedActions.get(0).substring(6);
+            proxy.nowUs += US_PER_MS;
+            proxy.answerProbe(probedServer, 0);
+            assertEquals(probedServer, proxy.latestServer(request));
         }
 
-        /** A copy that has seen some calls served, each of its probes answered idle. */
-        private Proxy served(String... servers) {
-            Proxy p = new Proxy(probing()).with(servers);
+        /** Returns a copy that has had 12 calls served, all of whose probes reported a load of 0. */
+        private SimulatedProxy proxyAfterServedCalls(String... servers) {
+            SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers(servers);
             for (int i = 0; i < 12; i++) {
-                int seen = p.done.size();
-                String r = p.request(Proxy.SAFE);
-                p.pass(1);
-                for (; seen < p.done.size(); seen++) {
-                    if (p.done.get(seen).startsWith("probe")) {
-                        p.report(p.done.get(seen).substring(6), 0);
+                int nextActionIndex = proxy.recordedActions.size();
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(1);
+                for (; nextActionIndex < proxy.recordedActions.size(); nextActionIndex++) {
+                    if (proxy.recordedActions.get(nextActionIndex).startsWith("probe")) {
+                        proxy.answerProbe(proxy.recordedActions.get(nextActionIndex).substring(6), 0);
                     }
                 }
-                p.pass(50);
-                p.end(r, Outcome.OK);
-                p.pass(100);
+                proxy.advanceMs(50);
+                proxy.endAttempt(request, Outcome.OK);
+                proxy.advanceMs(100);
             }
-            return p;
+            return proxy;
         }
 
         @Test
-        void asksAgainOnceProbesThatWereSlowAreQuick() {
-            // A stall of this proxy in its first seconds made it go without probes for the rest of its life.
-            Proxy p = served("a", "b", "c", "d");
-            for (String s : List.of("a", "b", "c", "d")) {
-                p.logic.probeResult(p.now, s, Outcome.OK, 200 * MS, new LoadReport(0, 0, 0));
+        void resumesProbingOnceSlowProbesAreFastAgain() {
+            // A stall of the proxy in its first seconds made probes look slow, and it never probed again.
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
+            for (String server : List.of("a", "b", "c", "d")) {
+                proxy.logic.probeResult(proxy.nowUs, server, Outcome.OK, 200 * US_PER_MS,
+                        new LoadReport(0, 0, 0));
             }
-            p.pass(2_000);
-            String slow = p.request(Proxy.SAFE);
-            assertNotNull(p.at(slow), "no call waits for slow probes");
-            p.end(slow, Outcome.OK);
-            int seen = p.done.size();
+            proxy.advanceMs(2_000);
+            String requestDuringSlowProbes = proxy.sendRequest(SimulatedProxy.SAFE);
+            assertNotNull(proxy.latestServer(requestDuringSlowProbes),
+                    "a call must not wait for slow probes");
+            proxy.endAttempt(requestDuringSlowProbes, Outcome.OK);
+            int nextActionIndex = proxy.recordedActions.size();
             for (int i = 0; i < 40; i++) {
-                String r = p.request(Proxy.SAFE);
-                p.pass(1);
-                answer(p, seen, 0, "");
-                seen = p.done.size();
-                p.pass(300);
-                p.end(r, Outcome.OK);
-            }
-            assertNull(p.at(p.request(Proxy.SAFE)), "waits for the answer to its probe");
-        }
-
-        /** Answers the probes sent since a line of the record, but none of the servers that are cut off. */
-        private void answer(Proxy p, int since, int inFlight, String cutOff) {
-            for (int i = since; i < p.done.size(); i++) {
-                String[] words = p.done.get(i).split(" ");
-                if (words[0].equals("probe") && !cutOff.contains(words[1])) {
-                    p.report(words[1], inFlight);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(1);
+                answerProbes(proxy, nextActionIndex, 0, "");
+                nextActionIndex = proxy.recordedActions.size();
+                proxy.advanceMs(300);
+                proxy.endAttempt(request, Outcome.OK);
+            }
+            assertNull(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+                    "the call must wait for the answer to its probe");
+        }
+
+        /** Answers the probes recorded from an index on, except those to unreachable servers. */
+        private void answerProbes(SimulatedProxy proxy, int fromActionIndex, int inFlight,
+                String unreachableServers) {
+            for (int i = fromActionIndex; i < proxy.recordedActions.size(); i++) {
+                String[] actionWords = proxy.recordedActions.get(i).split(" ");
+                if (actionWords[0].equals("probe") && !unreachableServers.contains(actionWords[1])) {
+                    proxy.answerProbe(actionWords[1], inFlight);
                 }
             }
         }
 
         @Test
-        void aServerThatOwesAnAnswerToAProbeIsNotTheNextInTurn() {
-            // It was asked first because its turn was next; the call went to just the one that kept silent.
-            Proxy p = served("a", "b", "c", "d");
-            int seen = p.done.size();
-            String r = p.request(Proxy.SAFE);
-            String silent = p.done.get(seen).substring(6);
-            p.pass(50);
-            assertNotNull(p.at(r));
-            assertNotEquals(silent, p.at(r));
+        void serverWithAnUnansweredProbeDoesNotGetTheCall() {
+            // The least recently assigned server is probed first. When it did not answer, the call went to it
+            // all the same, as it was still the least recently assigned one.
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
+            int nextActionIndex = proxy.recordedActions.size();
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String probedServer = proxy.recordedActions.get(nextActionIndex).substring(6);
+            proxy.advanceMs(50);
+            assertNotNull(proxy.latestServer(request));
+            assertNotEquals(probedServer, proxy.latestServer(request));
         }
 
         @Test
-        void aServerRestsFromTheSecondUnansweredProbeOn() {
-            // Cut off, but only demoted, it still got the calls that came while all others were busy.
-            Proxy p = served("a", "b", "c", "d");
-            int before = p.count("probe a");
+        void ejectsAServerAfterTwoUnansweredProbes() {
+            // An unreachable server that was only demoted still got calls while all other servers were busy.
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
+            int probesBefore = proxy.countActions("probe a");
             for (int i = 0; i < 2; i++) {
-                p.logic.probeResult(p.now, "a", Outcome.TIMEOUT, 50 * MS, null);
+                proxy.logic.probeResult(proxy.nowUs, "a", Outcome.TIMEOUT, 50 * US_PER_MS, null);
             }
             for (int i = 0; i < 6; i++) {
-                int seen = p.done.size();
-                String r = p.request(Proxy.SAFE);
-                p.pass(5);
-                answer(p, seen, 0, "a");
-                p.pass(5);
-                assertNotEquals("a", p.at(r));
+                int nextActionIndex = proxy.recordedActions.size();
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(5);
+                answerProbes(proxy, nextActionIndex, 0, "a");
+                proxy.advanceMs(5);
+                assertNotEquals("a", proxy.latestServer(request));
             }
-            assertEquals(before, p.count("probe a"));
+            assertEquals(probesBefore, proxy.countActions("probe a"));
         }
 
         @Test
-        void aProbeThatNeverLeftThisMachineSaysNothingOfItsServer() {
-            // Two such rested the server, though it had been asked nothing.
-            Proxy p = served("a", "b", "c", "d");
+        void probeThatWasNotSentDoesNotCountAgainstItsServer() {
+            // Two probes that failed on the proxy's own machine ejected a server that had received no probe.
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
             for (int i = 0; i < 2; i++) {
-                p.logic.probeResult(p.now, "a", Outcome.NOT_SENT, 0, null);
+                proxy.logic.probeResult(proxy.nowUs, "a", Outcome.NOT_SENT, 0, null);
             }
-            int before = p.count("probe a");
+            int probesBefore = proxy.countActions("probe a");
             for (int i = 0; i < 8; i++) {
-                int seen = p.done.size();
-                p.request(Proxy.SAFE);
-                p.pass(5);
-                answer(p, seen, 0, "");
-                p.pass(5);
+                int nextActionIndex = proxy.recordedActions.size();
+                proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(5);
+                answerProbes(proxy, nextActionIndex, 0, "");
+                proxy.advanceMs(5);
             }
-            assertNotEquals(before, p.count("probe a"));
+            assertNotEquals(probesBefore, proxy.countActions("probe a"));
         }
 
         @Test
-        void amongBusyServersASilentOneComesLater() {
-            // In a zone cut off from the others more than half of the servers are out of reach, so not all
-            // rest; they drew each call that found the servers in reach busy.
-            Proxy p = served("a", "b", "c");
-            for (String cutOff : List.of("a", "b", "a", "b")) {
-                p.logic.probeResult(p.now, cutOff, Outcome.TIMEOUT, 50 * MS, null);
+        void prefersABusyServerToOneWithUnansweredProbes() {
+            // A partition of the zone makes more than half of the servers unreachable, so some of them are
+            // not ejected; those got every call that found the reachable servers busy.
+            SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c");
+            for (String unreachableServer : List.of("a", "b", "a", "b")) {
+                proxy.logic.probeResult(proxy.nowUs, unreachableServer, Outcome.TIMEOUT, 50 * US_PER_MS,
+                        null);
             }
-            int seen = p.done.size();
-            String r = p.request(Proxy.SAFE);
+            int nextActionIndex = proxy.recordedActions.size();
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
             for (int i = 0; i < 4; i++) {
-                p.pass(2);
-                answer(p, seen, 1, "a b");
-                seen = p.done.size();
+                proxy.advanceMs(2);
+                answerProbes(proxy, nextActionIndex, 1, "a b");
+                nextActionIndex = proxy.recordedActions.size();
             }
-            p.pass(10);
-            assertEquals("c", p.at(r));
+            proxy.advanceMs(10);
+            assertEquals("c", proxy.latestServer(request));
         }
 
         @Test
-        void heldCallsKeepTheirOrderAndNoneIsSentThatWouldProbablyBeLate() {
-            // Under overload each call waited its turn to be sent at the last moment: most answers were late.
-            Proxy p = new Proxy(setup()).with("a");
+        void waitingCallsKeepTheirOrderAndLikelyLateOnesAreNotSent() {
+            // Under overload each waiting call was sent just before its deadline, so most answers were late.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
             for (int i = 0; i < 12; i++) {
-                p.serve();
+                proxy.serveRequest();
             }
-            List<String> sent = new ArrayList<>();
-            List<String> held = new ArrayList<>();
+            List<String> sentRequests = new ArrayList<>();
+            List<String> waitingRequests = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                String r = p.request(Proxy.SAFE);
-                (p.at(r) == null ? held : sent).add(r);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                (proxy.latestServer(request) == null ? waitingRequests : sentRequests).add(request);
             }
-            assertTrue(held.size() > 1, "held: " + held);
-            p.pass(100);
-            p.end(sent.get(0), Outcome.OK);
-            String newest = held.get(held.size() - 1);
-            for (int i = 1; i < sent.size() && p.at(held.get(0)) == null; i++) {
-                p.end(sent.get(i), Outcome.OK);
+            assertTrue(waitingRequests.size() > 1, "waiting calls: " + waitingRequests);
+            proxy.advanceMs(100);
+            proxy.endAttempt(sentRequests.get(0), Outcome.OK);
+            String newestWaitingRequest = waitingRequests.get(waitingRequests.size() - 1);
+            for (int i = 1; i < sentRequests.size()
+                    && proxy.latestServer(waitingRequests.get(0)) == null; i++) {
+                proxy.endAttempt(sentRequests.get(i), Outcome.OK);
             }
-            assertNotNull(p.at(held.get(0)));
-            assertNull(p.at(newest));
-            p.pass(260);
-            for (String r : sent) {
-                p.logic.outcome(p.now, r, 0, "a", Outcome.OK, 360 * MS, true, null);
+            assertNotNull(proxy.latestServer(waitingRequests.get(0)));
+            assertNull(proxy.latestServer(newestWaitingRequest));
+            proxy.advanceMs(260);
+            for (String request : sentRequests) {
+                proxy.logic.outcome(proxy.nowUs, request, 0, "a", Outcome.OK, 360 * US_PER_MS, true, null);
             }
-            for (String r : held) {
-                assertTrue(p.at(r) != null || p.did("refuse " + r) || p.did("fail " + r), r);
+            for (String request : waitingRequests) {
+                assertTrue(proxy.latestServer(request) != null || proxy.hasAction("refuse " + request)
+                        || proxy.hasAction("fail " + request), request);
             }
-            assertNull(p.at(newest), "sent with 40 of 400 ms left");
+            assertNull(proxy.latestServer(newestWaitingRequest), "sent though only 40 of 400 ms were left");
         }
 
         @Test
-        void takesAServerAllTheSameWhenNoProbeIsAnswered() {
-            Proxy p = new Proxy(probing()).with("a", "b", "c", "d");
-            String r = p.request(Proxy.SAFE);
-            p.pass(50);
-            assertNotNull(p.at(r));
+        void sendsTheCallEvenIfNoProbeIsAnswered() {
+            SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.advanceMs(50);
+            assertNotNull(proxy.latestServer(request));
         }
 
         @Test
-        void asksNothingWhereProbesAreNotAllowed() {
-            Proxy p = new Proxy(setup()).with("a", "b");
-            p.serve();
-            assertEquals(0, p.count("probe"));
+        void sendsNoProbesWhereTheyAreNotAllowed() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
+            proxy.serveRequest();
+            assertEquals(0, proxy.countActions("probe"));
         }
 
         @Test
-        void sendsNothingThatCouldNotBeAnsweredInTime() {
-            // Every copy's queue of late work kept the whole tier busy with answers that came past the aim.
-            Proxy p = new Proxy(setup()).with("a", "b");
+        void sendsNoCallsThatCannotBeAnsweredBeforeTheirAim() {
+            // The calls that each copy queued kept the whole tier busy with answers later than the aim.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             for (int i = 0; i < 10; i++) {
-                p.serve();
+                proxy.serveRequest();
             }
             for (int i = 0; i < 60; i++) {
-                p.request(Proxy.SAFE);
+                proxy.sendRequest(SimulatedProxy.SAFE);
             }
-            int sent = p.count("send") - 10;
-            assertTrue(sent < 12, "sent at once: " + sent);
-            p.pass(1_000);
-            assertEquals(60, sent + p.count("fail") + p.count("refuse") + p.count("send") - 10 - sent);
+            int sendsAtOnce = proxy.countActions("send") - 10;
+            assertTrue(sendsAtOnce < 12, "sent at once: " + sendsAtOnce);
+            proxy.advanceMs(1_000);
+            assertEquals(60, sendsAtOnce + proxy.countActions("fail") + proxy.countActions("refuse")
+                    + proxy.countActions("send") - 10 - sendsAtOnce);
         }
 
         @Test
-        void whereCallsAskForLoadsThoseBeyondTheShareStillGoToIdleServers() {
-            // A copy that sees a call a second of a tenant refused calls within its share, by chance.
-            Proxy.Setup setup = probing();
-            setup.quota = 3;
-            Proxy p = new Proxy(setup).with("a", "b", "c");
+        void withProbesCallsBeyondTheQuotaStillGoToIdleServers() {
+            // A copy that gets a tenant's calls unevenly, about one per second, refused calls within the
+            // quota.
+            SimulatedProxy.TestSettings settings = probingSettings();
+            settings.tenantQuotaPerSecond = 3;
+            SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
             for (int i = 0; i < 30; i++) {
-                String r = p.request(Proxy.SAFE, 1);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE, 1);
                 for (String server : List.of("a", "b", "c")) {
-                    p.report(server, 0);
+                    proxy.answerProbe(server, 0);
                 }
-                assertNotNull(p.at(r));
-                p.pass(10);
-                p.end(r, Outcome.OK);
+                assertNotNull(proxy.latestServer(request));
+                proxy.advanceMs(10);
+                proxy.endAttempt(request, Outcome.OK);
             }
         }
 
         @Test
-        void callsThatAJamKeepsFromBeginningUseUpNoShare() {
-            // Clients' retries in a jam used up their tenant's share, and service came back late.
-            Proxy.Setup setup = setup();
-            setup.quota = 3;
-            Proxy p = new Proxy(setup).with("a", "b", "c", "d");
+        void callsRejectedForCongestionDoNotUseUpTheQuota() {
+            // Retries of clients during congestion used up their tenant's quota and delayed the recovery.
+            SimulatedProxy.TestSettings settings = testSettings();
+            settings.tenantQuotaPerSecond = 3;
+            SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c", "d");
             for (int i = 0; i < 60; i++) {
-                String r = p.request(Proxy.UNSAFE, i < 30 ? 0 : 1);
-                if (p.at(r) != null) {
-                    p.end(r, Outcome.ERROR);
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE, i < 30 ? 0 : 1);
+                if (proxy.latestServer(request) != null) {
+                    proxy.endAttempt(request, Outcome.ERROR);
                 }
-                p.pass(i < 30 ? 30 : 1);
+                proxy.advanceMs(i < 30 ? 30 : 1);
             }
             for (int i = 0; i < 1_500; i++) {
-                String r = p.request(Proxy.SAFE);
-                p.pass(1);
-                if (p.at(r) != null) {
-                    p.end(r, Outcome.OK);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(1);
+                if (proxy.latestServer(request) != null) {
+                    proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            int begun = 0;
+            int sentCalls = 0;
             for (int i = 0; i < 5; i++) {
-                String r = p.request(Proxy.SAFE, 1);
-                p.pass(1);
-                if (p.at(r) != null) {
-                    begun++;
-                    p.end(r, Outcome.OK);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE, 1);
+                proxy.advanceMs(1);
+                if (proxy.latestServer(request) != null) {
+                    sentCalls++;
+                    proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            assertEquals(5, begun);
+            assertEquals(5, sentCalls);
         }
 
         @Test
-        void requestsBeyondTheirTenantsShareAreNotBegun() {
-            // They earn little, and kept a crowd going that took the place of those within their share.
-            Proxy.Setup setup = setup();
-            setup.quota = 30;
-            Proxy p = new Proxy(setup).with("a", "b");
-            int sent = 0;
+        void requestsBeyondTheirTenantsQuotaAreRefused() {
+            // Requests beyond the quota have little worth, and they displaced requests within the quota.
+            SimulatedProxy.TestSettings settings = testSettings();
+            settings.tenantQuotaPerSecond = 30;
+            SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b");
+            int sentCalls = 0;
             for (int i = 0; i < 60; i++) {
-                String r = p.request(Proxy.SAFE, 1);
-                p.pass(10);
-                if (p.at(r) != null) {
-                    sent++;
-                    p.end(r, Outcome.OK);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE, 1);
+                proxy.advanceMs(10);
+                if (proxy.latestServer(request) != null) {
+                    sentCalls++;
+                    proxy.endAttempt(request, Outcome.OK);
                 } else {
-                    assertTrue(p.did("refuse " + r));
+                    assertTrue(proxy.hasAction("refuse " + request));
                 }
             }
-            assertTrue(sent >= 10 && sent <= 20, "of 60 in 0.6 s, ten a second for this copy: " + sent);
-            assertNotNull(p.serve(), "other tenants come as before");
-            p.pass(2_000);
-            assertNotNull(p.at(p.request(Proxy.SAFE, 1)), "after a pause there is share again");
+            assertTrue(sentCalls >= 10 && sentCalls <= 20,
+                    "sent of 60 in 0.6 s, with a quota of 10 per second for this copy: " + sentCalls);
+            assertNotNull(proxy.serveRequest(), "requests of other tenants are served as before");
+            proxy.advanceMs(2_000);
+            assertNotNull(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE, 1)),
+                    "after a pause the quota has refilled");
         }
 
         @Test
-        void inAJamFewCallsAreBegunAndAllAgainOnceTheyAreServed() {
-            // Servers kept working for callers that had gone, and each further call kept them so.
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
+        void congestionLimitsCallsUntilCallsAreServedAgain() {
+            // Servers worked on calls whose callers had gone, and each further call kept the congestion up.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                p.request(Proxy.SAFE);
-                p.pass(100);
+                proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(100);
             }
-            int begun = p.sentTo.size();
-            assertTrue(begun < 40, "calls begun of 100, none served: " + begun);
-            assertEquals(1, p.count("log congestion:"));
+            int sentCalls = proxy.serversByRequest.size();
+            assertTrue(sentCalls < 40, "calls sent of 100, none served: " + sentCalls);
+            assertEquals(1, proxy.countActions("log congestion:"));
             for (int i = 0; i < 100; i++) {
-                String r = p.request(Proxy.SAFE);
-                p.pass(100);
-                if (p.at(r) != null) {
-                    p.end(r, Outcome.OK);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(100);
+                if (proxy.latestServer(request) != null) {
+                    proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            begun = p.sentTo.size();
+            sentCalls = proxy.serversByRequest.size();
             for (int i = 0; i < 20; i++) {
-                assertNotNull(p.serve());
+                assertNotNull(proxy.serveRequest());
             }
-            assertEquals(begun + 20, p.sentTo.size());
-            assertEquals(1, p.count("log congestion has cleared"));
+            assertEquals(sentCalls + 20, proxy.serversByRequest.size());
+            assertEquals(1, proxy.countActions("log congestion has cleared"));
         }
 
         @Test
-        void clientsThatLeaveEarlyMakeNoJam() {
-            // Impatient clients passed for calls that servers were too slow for.
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
+        void clientsThatDisconnectEarlyDoNotCountAsCongestion() {
+            // Clients that disconnect early were counted as calls that the servers had served too slowly.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String left = p.request(Proxy.SAFE);
-                p.pass(20);
-                p.logic.clientGone(p.now, left);
-                p.end(left, Outcome.CANCELLED);
+                String abandonedRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(20);
+                proxy.logic.clientGone(proxy.nowUs, abandonedRequest);
+                proxy.endAttempt(abandonedRequest, Outcome.CANCELLED);
                 if (i % 4 == 0) {
-                    assertNotNull(p.serve());
+                    assertNotNull(proxy.serveRequest());
                 }
             }
-            assertEquals(0, p.count("refuse") + p.count("log congestion:"));
+            assertEquals(0, proxy.countActions("refuse") + proxy.countActions("log congestion:"));
         }
 
         @Test
-        void clientsThatLeaveOnceTheirAimHasPassedStillCountAsNotServed() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
+        void clientsThatDisconnectAfterTheirAimCountAsNotServed() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 25; i++) {
-                List<String> late =
-                        List.of(p.request(Proxy.SAFE), p.request(Proxy.SAFE), p.request(Proxy.SAFE));
-                p.pass(500);
-                late.forEach(r -> p.logic.clientGone(p.now, r));
+                List<String> abandonedRequests =
+                        List.of(proxy.sendRequest(SimulatedProxy.SAFE),
+                        proxy.sendRequest(SimulatedProxy.SAFE), proxy.sendRequest(SimulatedProxy.SAFE));
+                proxy.advanceMs(500);
+                abandonedRequests.forEach(request -> proxy.logic.clientGone(proxy.nowUs, request));
             }
-            assertNotEquals(0, p.count("log congestion:"));
+            assertNotEquals(0, proxy.countActions("log congestion:"));
         }
 
         @Test
-        void aBurstOfFailuresIsForgottenWhileNoCallIsBegun() {
-            // Only calls that were begun let the count fade: a copy with few calls refused them for seconds.
-            Proxy p = new Proxy(setup()).with("a", "b", "c", "d");
-            List<String> failed = new ArrayList<>();
+        void failureCountDecaysWhileNoCallIsSent() {
+            // The failure count decayed only when a call was sent, so a copy with few calls refused them for
+            // seconds.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
+            List<String> failedRequests = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                failed.add(p.request(Proxy.UNSAFE));
+                failedRequests.add(proxy.sendRequest(SimulatedProxy.UNSAFE));
             }
-            p.pass(500);
-            failed.forEach(r -> p.end(r, Outcome.ERROR));
-            p.request(Proxy.SAFE);
-            assertEquals(1, p.count("log congestion:"));
-            p.pass(2_000);
+            proxy.advanceMs(500);
+            failedRequests.forEach(request -> proxy.endAttempt(request, Outcome.ERROR));
+            proxy.sendRequest(SimulatedProxy.SAFE);
+            assertEquals(1, proxy.countActions("log congestion:"));
+            proxy.advanceMs(2_000);
             for (int i = 0; i < 20; i++) {
-                String r = p.request(Proxy.SAFE);
-                assertNotNull(p.at(r), "refused after " + 2 * (i + 1) + " s");
-                p.pass(2_000);
-                p.end(r, Outcome.OK);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                assertNotNull(proxy.latestServer(request),
+                        "refused " + 2 * (i + 1) + " s after the failures");
+                proxy.advanceMs(2_000);
+                proxy.endAttempt(request, Outcome.OK);
             }
         }
 
         @Test
-        void longCallsDoNotMakeTheServersThatGetThemLookSlow() {
-            // Slow servers took only long calls, looked slower for it and stood half idle.
-            Proxy p = new Proxy(setup()).with("a", "b");
-            String held = p.request(Proxy.SAFE);
-            String other = p.at(held).equals("a") ? "b" : "a";
+        void longCallsDoNotRaiseTheEstimatedSlownessOfTheirServer() {
+            // Slow servers got only long calls, so they were estimated as slower still and were half idle.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
+            String blockingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            String idleServer = proxy.latestServer(blockingRequest).equals("a") ? "b" : "a";
             for (int i = 0; i < 200; i++) {
-                // While the one is busy, the other gets all that comes: long calls here, short ones there.
-                String r = p.request(other.equals("a") ? Proxy.UNSAFE : Proxy.SAFE);
-                assertEquals(other, p.at(r));
-                long took = other.equals("a") ? 90 : 30;
-                p.pass(took);
-                p.logic.outcome(p.now, r, 0, other, Outcome.OK, took * MS, true, null);
+                // While one server is busy, the other gets every call: a only long calls, b only short ones.
+                String request = proxy.sendRequest(idleServer.equals("a") ? SimulatedProxy.UNSAFE
+                        : SimulatedProxy.SAFE);
+                assertEquals(idleServer, proxy.latestServer(request));
+                long durationMs = idleServer.equals("a") ? 90 : 30;
+                proxy.advanceMs(durationMs);
+                proxy.logic.outcome(proxy.nowUs, request, 0, idleServer, Outcome.OK, durationMs * US_PER_MS,
+                        true, null);
                 if (i % 10 == 9) {
-                    String next = p.request(Proxy.SAFE);
-                    assertEquals(other, p.at(next));
-                    p.logic.outcome(p.now, held, 0, p.at(held), Outcome.OK, 30 * MS, true, null);
-                    other = p.at(held);
-                    held = next;
+                    String nextBlockingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+                    assertEquals(idleServer, proxy.latestServer(nextBlockingRequest));
+                    proxy.logic.outcome(proxy.nowUs, blockingRequest, 0, proxy.latestServer(blockingRequest),
+                            Outcome.OK, 30 * US_PER_MS, true, null);
+                    idleServer = proxy.latestServer(blockingRequest);
+                    blockingRequest = nextBlockingRequest;
                 }
             }
-            p.end(held, Outcome.OK);
-            int before = p.done.size();
+            proxy.endAttempt(blockingRequest, Outcome.OK);
+            int actionsBefore = proxy.recordedActions.size();
             for (int i = 0; i < 40; i++) {
-                p.request(Proxy.SAFE);
+                proxy.sendRequest(SimulatedProxy.SAFE);
             }
-            List<String> sent = p.done.subList(before, p.done.size());
-            long toLong = sent.stream().filter(line -> line.matches("send r\\d+ a .*")).count();
-            long toShort = sent.stream().filter(line -> line.matches("send r\\d+ b .*")).count();
-            assertTrue(toLong * 2 > toShort, toLong + " and " + toShort);
+            List<String> sendActions =
+                    proxy.recordedActions.subList(actionsBefore, proxy.recordedActions.size());
+            long callsToA = sendActions.stream().filter(action -> action.matches("send r\\d+ a .*")).count();
+            long callsToB = sendActions.stream().filter(action -> action.matches("send r\\d+ b .*")).count();
+            assertTrue(callsToA * 2 > callsToB, "calls sent to a: " + callsToA + ", to b: " + callsToB);
         }
 
         @Test
-        void aMarkedLastTryWhoseAimHasPassedIsNotSent() {
-            // A last try has all that is left of the client's time, which tells when the first one came; work
-            // for answers that were long late went on under overload.
-            Proxy p = new Proxy(setup()).with("a", "b");
+        void clientRetryWhoseAimHasPassedSinceTheFirstTryIsNotSent() {
+            // The last try of a client carries its remaining time, which shows when the first try arrived.
+            // Under overload, calls whose aim had passed since the first try were sent all the same.
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             for (int i = 0; i < 12; i++) {
-                p.serve();
-            }
-            long first = 600 * MS;
-            p.logic.request(p.now, new Request("first", Proxy.SAFE, 0, first, 0, false));
-            p.logic.request(p.now, new Request("again", Proxy.SAFE, 0, first, 0, true));
-            p.logic.request(p.now, new Request("soon", Proxy.SAFE, 0, 900 * MS, 0, true));
-            p.logic.request(p.now, new Request("late", Proxy.SAFE, 0, 500 * MS, 0, true));
-            assertNotNull(p.at("first"));
-            assertNotNull(p.at("again"), "a full try tells nothing of the first one");
-            assertNotNull(p.at("soon"), "100 of 400 ms have passed");
-            assertNull(p.at("late"), "500 of 400 ms have passed");
-            assertTrue(p.did("fail late") || p.did("refuse late"));
-        }
-
-        @Test
-        void slowSpellsDoNotMakeEveryLaterCallLookHopeless() {
-            Proxy p = new Proxy(setup()).with("a", "b");
+                proxy.serveRequest();
+            }
+            long timeLeftUs = 600 * US_PER_MS;
+            proxy.logic.request(proxy.nowUs,
+                    new Request("first", SimulatedProxy.SAFE, 0, timeLeftUs, 0, false));
+            proxy.logic.request(proxy.nowUs,
+                    new Request("again", SimulatedProxy.SAFE, 0, timeLeftUs, 0, true));
+            proxy.logic.request(proxy.nowUs,
+                    new Request("soon", SimulatedProxy.SAFE, 0, 900 * US_PER_MS, 0, true));
+            proxy.logic.request(proxy.nowUs,
+                    new Request("late", SimulatedProxy.SAFE, 0, 500 * US_PER_MS, 0, true));
+            assertNotNull(proxy.latestServer("first"));
+            assertNotNull(proxy.latestServer("again"),
+                    "a retry with its full time left does not show when the first try arrived");
+            assertNotNull(proxy.latestServer("soon"), "100 ms of the aim of 400 ms have passed");
+            assertNull(proxy.latestServer("late"), "500 ms have passed, more than the aim of 400 ms");
+            assertTrue(proxy.hasAction("fail late") || proxy.hasAction("refuse late"));
+        }
+
+        @Test
+        void slowPeriodDoesNotMakeLaterCallsLookUnservable() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             for (int i = 0; i < 40; i++) {
-                String r = p.request(Proxy.SAFE);
-                p.pass(900);
-                if (p.at(r) != null) {
-                    p.logic.outcome(p.now, r, 0, p.at(r), Outcome.OK, 900 * MS, true, null);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(900);
+                if (proxy.latestServer(request) != null) {
+                    proxy.logic.outcome(proxy.nowUs, request, 0, proxy.latestServer(request), Outcome.OK,
+                            900 * US_PER_MS, true, null);
                 }
             }
-            int before = p.count("send");
+            int sendsBefore = proxy.countActions("send");
             for (int i = 0; i < 300; i++) {
-                String r = p.request(Proxy.SAFE);
-                p.pass(50);
-                if (p.at(r) != null) {
-                    p.end(r, Outcome.OK);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.advanceMs(50);
+                if (proxy.latestServer(request) != null) {
+                    proxy.endAttempt(request, Outcome.OK);
                 }
             }
-            assertTrue(p.count("send") - before > 100, "sent afterwards: " + (p.count("send") - before));
+            assertTrue(proxy.countActions("send") - sendsBefore > 100,
+                    "calls sent after the slow period: " + (proxy.countActions("send") - sendsBefore));
         }
     }
 
     @Test
-    void settingsThatMakeNoSenseAreRefusedByName() {
-        Proxy.Setup setup = setup();
-        setup.maxAttempts = 0;
-        var e = assertThrows(IllegalArgumentException.class, () -> new Proxy(setup));
-        assertTrue(e.getMessage().startsWith("limits.maxAttempts"), e.getMessage());
-        setup.maxAttempts = 1;
-        setup.coldFrom = 0;
-        e = assertThrows(IllegalArgumentException.class, () -> new Proxy(setup));
-        assertTrue(e.getMessage().startsWith("rules.coldFrom"), e.getMessage());
+    void invalidSettingsAreRejectedWithTheirName() {
+        SimulatedProxy.TestSettings settings = testSettings();
+        settings.maxAttempts = 0;
+        var exception = assertThrows(IllegalArgumentException.class, () -> new SimulatedProxy(settings));
+        assertTrue(exception.getMessage().startsWith("limits.maxAttempts"), exception.getMessage());
+        settings.maxAttempts = 1;
+        settings.coldStartShare = 0;
+        exception = assertThrows(IllegalArgumentException.class, () -> new SimulatedProxy(settings));
+        assertTrue(exception.getMessage().startsWith("rules.coldFrom"), exception.getMessage());
         assertThrows(IllegalArgumentException.class, () -> new Logic(null, 1, null));
-        assertFalse(new Proxy(setup()).did("anything"));
+        assertFalse(new SimulatedProxy(testSettings()).hasAction("anything"));
     }
 
-    /** Servers left out by the operator's word. */
+    /** Servers in maintenance by the operator's command. */
     @Nested
     class Maintenance {
 
-        private final Proxy p = new Proxy(setup()).with("a", "b", "c");
+        private final SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
 
         @Test
-        void nothingGoesToAServerLeftOutWhateverTheListSays() {
-            p.logic.maintenanceChanged(p.now, "a", true);
-            p.logic.maintenanceChanged(p.now, "a", true);
-            p.change("a", p.now, ServerStatus.UP);
+        void serverInMaintenanceGetsNoCallsWhateverTheListSays() {
+            proxy.logic.maintenanceChanged(proxy.nowUs, "a", true);
+            proxy.logic.maintenanceChanged(proxy.nowUs, "a", true);
+            proxy.updateServer("a", proxy.nowUs, ServerStatus.UP);
             for (int i = 0; i < 12; i++) {
-                assertNotEquals("a", p.serve());
+                assertNotEquals("a", proxy.serveRequest());
             }
-            p.with("a", "b", "c");
-            p.pass(5_000);
+            proxy.withServers("a", "b", "c");
+            proxy.advanceMs(5_000);
             for (int i = 0; i < 12; i++) {
-                assertNotEquals("a", p.serve());
+                assertNotEquals("a", proxy.serveRequest());
             }
         }
 
         @Test
-        void oneCallBackUndoesTwoCallsOutAndTheServerIsSoonUsed() {
-            p.logic.maintenanceChanged(p.now, "a", true);
-            p.logic.maintenanceChanged(p.now, "a", true);
-            p.pass(3_000);
-            p.logic.maintenanceChanged(p.now, "a", false);
-            assertTrue(usedWithin(5_000, 300), "an idle copy's few calls reach it");
+        void endingMaintenanceOnceUndoesTwoStartsAndTheServerIsSoonUsed() {
+            proxy.logic.maintenanceChanged(proxy.nowUs, "a", true);
+            proxy.logic.maintenanceChanged(proxy.nowUs, "a", true);
+            proxy.advanceMs(3_000);
+            proxy.logic.maintenanceChanged(proxy.nowUs, "a", false);
+            assertTrue(isUsedWithin(5_000, 300), "a copy with few calls uses the server again within 5 s");
         }
 
         @Test
-        void aServerBroughtBackIsColdThoughTheListDoesNotSaySo() {
-            Proxy busy = new Proxy(setup()).with("a", "b", "c", "d");
+        void serverIsColdAfterMaintenanceEvenIfTheListDoesNotReportARestart() {
+            SimulatedProxy busyProxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 200; i++) {
-                busy.serve();
-            }
-            busy.logic.maintenanceChanged(busy.now, "a", true);
-            busy.pass(1_000);
-            busy.logic.maintenanceChanged(busy.now, "a", false);
-            // Its restart becomes known later, and is the same.
-            busy.change("a", busy.now - 500 * MS, ServerStatus.UP);
-            int taken = 0;
+                busyProxy.serveRequest();
+            }
+            busyProxy.logic.maintenanceChanged(busyProxy.nowUs, "a", true);
+            busyProxy.advanceMs(1_000);
+            busyProxy.logic.maintenanceChanged(busyProxy.nowUs, "a", false);
+            // The list reports the restart that took place during the maintenance only afterwards.
+            busyProxy.updateServer("a", busyProxy.nowUs - 500 * US_PER_MS, ServerStatus.UP);
+            int callsToServer = 0;
             for (int i = 0; i < 40; i++) {
-                taken += "a".equals(busy.serve()) ? 1 : 0;
+                callsToServer += "a".equals(busyProxy.serveRequest()) ? 1 : 0;
             }
-            assertTrue(taken >= 1 && taken <= 6, "a warm one would take 10 of 40 turns, this one: " + taken);
+            assertTrue(callsToServer >= 1 && callsToServer <= 6,
+                    "calls of 40, where a warm server would get 10: " + callsToServer);
         }
 
         @Test
-        void callsThatWaitAndRetriesPassItBy() {
-            String first = p.request(Proxy.SAFE);
-            String server = p.at(first);
-            p.logic.maintenanceChanged(p.now, server, true);
-            p.end(first, Outcome.NOT_SENT);
-            assertNotEquals(server, p.at(first));
+        void retriesAvoidAServerInMaintenance() {
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String server = proxy.latestServer(request);
+            proxy.logic.maintenanceChanged(proxy.nowUs, server, true);
+            proxy.endAttempt(request, Outcome.NOT_SENT);
+            assertNotEquals(server, proxy.latestServer(request));
         }
 
         @Test
-        void anIdThatIsNotListedYetIsLeftOutOnceItIs() {
-            p.logic.maintenanceChanged(p.now, "d", true);
-            p.change("d", 0, ServerStatus.UP);
-            p.pass(5_000);
+        void maintenanceAppliesToAServerThatIsListedLater() {
+            proxy.logic.maintenanceChanged(proxy.nowUs, "d", true);
+            proxy.updateServer("d", 0, ServerStatus.UP);
+            proxy.advanceMs(5_000);
             for (int i = 0; i < 12; i++) {
-                assertNotEquals("d", p.serve());
+                assertNotEquals("d", proxy.serveRequest());
             }
-            p.logic.maintenanceChanged(p.now, "d", false);
-            boolean used = false;
+            proxy.logic.maintenanceChanged(proxy.nowUs, "d", false);
+            boolean isUsed = false;
             for (int i = 0; i < 100; i++) {
-                used |= "d".equals(p.serve());
+                isUsed |= "d".equals(proxy.serveRequest());
             }
-            assertTrue(used);
+            assertTrue(isUsed);
         }
 
         @Test
-        void aServerGoneFromTheListWhileOutIsNotUsedAfterTheCallBack() {
-            p.logic.maintenanceChanged(p.now, "a", true);
-            p.logic.serversChanged(p.now, ListKind.WHOLE,
+        void serverRemovedFromTheListDuringMaintenanceIsNotUsedAfterwards() {
+            proxy.logic.maintenanceChanged(proxy.nowUs, "a", true);
+            proxy.logic.serversChanged(proxy.nowUs, ListKind.WHOLE,
                     List.of(new Server("b", 0, 0, 0, 1, ServerStatus.UP)));
-            p.logic.maintenanceChanged(p.now, "a", false);
-            p.pass(5_000);
-            assertEquals("b", p.serve());
-            assertEquals("b", p.serve());
+            proxy.logic.maintenanceChanged(proxy.nowUs, "a", false);
+            proxy.advanceMs(5_000);
+            assertEquals("b", proxy.serveRequest());
+            assertEquals("b", proxy.serveRequest());
         }
 
-        private boolean usedWithin(long ms, long gapMs) {
-            boolean used = false;
-            for (long at = 0; at < ms; at += gapMs) {
-                used |= "a".equals(p.serve());
-                p.pass(gapMs - 50);
+        private boolean isUsedWithin(long durationMs, long intervalMs) {
+            boolean isUsed = false;
+            for (long elapsedMs = 0; elapsedMs < durationMs; elapsedMs += intervalMs) {
+                isUsed |= "a".equals(proxy.serveRequest());
+                proxy.advanceMs(intervalMs - 50);
             }
-            return used;
+            return isUsed;
         }
     }
 
-    /** What a copy that has just started knows of the time that calls take. */
+    /** Estimates of service times in a copy that has just started. */
     @Nested
-    class Beginning {
+    class ServiceTimesAfterStart {
 
         @Test
-        void oneSlowCallDoesNotMakeAllLaterOnesHopeless() {
-            Proxy p = new Proxy(setup()).with("a", "b", "c");
-            String first = p.request(Proxy.SAFE);
-            p.pass(410);
-            p.logic.outcome(p.now, first, 0, p.at(first), Outcome.OK, 410 * MS, true, null);
-            p.pass(1_000);
+        void oneSlowFirstCallDoesNotMakeLaterCallsLookUnservable() {
+            SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
+            String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.advanceMs(410);
+            proxy.logic.outcome(proxy.nowUs, firstRequest, 0, proxy.latestServer(firstRequest), Outcome.OK,
+                    410 * US_PER_MS, true, null);
+            proxy.advanceMs(1_000);
             for (int i = 0; i < 5; i++) {
-                assertNotNull(p.serve(), "begun, though the only call seen took longer than the aim");
+                assertNotNull(proxy.serveRequest(),
+                        "must be sent, though the only call so far took longer than the aim");
             }
-            assertEquals(0, p.count("refuse"));
+            assertEquals(0, proxy.countActions("refuse"));
         }
     }
 
-    /** Bodies too large to be held, on their way in either direction. */
+    /** Request and response bodies too large to be buffered, which are streamed. */
     @Nested
-    class Large {
+    class StreamedBodies {
 
-        private final Proxy p = new Proxy(setup()).with("a", "b");
+        private final SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
 
-        private String upload() {
-            p.logic.request(p.now, new Request("up", Proxy.UNSAFE, 0, 1_000 * MS, 0, false, true));
-            return p.at("up");
+        private String sendUpload() {
+            proxy.logic.request(proxy.nowUs,
+                    new Request("up", SimulatedProxy.UNSAFE, 0, 1_000 * US_PER_MS, 0, false, true));
+            return proxy.latestServer("up");
         }
 
-        private Set<String> twoMore() {
-            return new HashSet<>(List.of(p.at(p.request(Proxy.SAFE)), p.at(p.request(Proxy.SAFE))));
+        private Set<String> serversOfTwoMoreRequests() {
+            return new HashSet<>(List.of(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+                    proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE))));
         }
 
-        /** Lets both servers be known to take 50 ms. */
-        private void learn() {
+        /** Serves 20 calls so that both servers are known to take 50 ms per call. */
+        private void serveCallsToMeasureDurations() {
             for (int i = 0; i < 20; i++) {
-                p.serve();
+                proxy.serveRequest();
             }
         }
 
         @Test
-        void aServerIsIdleWhileABodyIsStillOnItsWayToIt() {
-            learn();
-            String server = upload();
-            Set<String> taken = twoMore();
-            assertEquals(Set.of("a", "b"), taken);
-            p.logic.uploadCompleted(p.now, "up");
-            assertTrue(taken.contains(server));
+        void serverCountsAsIdleWhileItsRequestBodyIsBeingUploaded() {
+            serveCallsToMeasureDurations();
+            String server = sendUpload();
+            Set<String> usedServers = serversOfTwoMoreRequests();
+            assertEquals(Set.of("a", "b"), usedServers);
+            proxy.logic.uploadCompleted(proxy.nowUs, "up");
+            assertTrue(usedServers.contains(server));
         }
 
         @Test
-        void aBodyThatComesSlowlySpeaksNotAgainstItsServer() {
-            learn();
-            String server = upload();
-            p.pass(20_000);
-            p.logic.uploadCompleted(p.now, "up");
-            p.pass(60);
-            p.end("up", Outcome.OK);
-            assertEquals(0, p.count("log"));
-            assertEquals(0, p.count("cancel"));
-            assertTrue(Set.of(p.serve(), p.serve()).contains(server));
+        void slowUploadDoesNotCountAgainstItsServer() {
+            serveCallsToMeasureDurations();
+            String server = sendUpload();
+            proxy.advanceMs(20_000);
+            proxy.logic.uploadCompleted(proxy.nowUs, "up");
+            proxy.advanceMs(60);
+            proxy.endAttempt("up", Outcome.OK);
+            assertEquals(0, proxy.countActions("log"));
+            assertEquals(0, proxy.countActions("cancel"));
+            assertTrue(Set.of(proxy.serveRequest(), proxy.serveRequest()).contains(server));
         }
 
         @Test
-        void onceTheBodyHasComeTheServerIsOverdueAsEver() {
-            learn();
-            String server = upload();
-            p.pass(20_000);
-            p.logic.uploadCompleted(p.now, "up");
-            String other = p.at(p.request(Proxy.SAFE));
-            assertNotEquals(server, other, "it is busy now");
-            p.pass(900);
-            p.end("up", Outcome.TIMEOUT);
-            assertTrue(p.did("fail up") || p.did("refuse up"));
+        void serverIsBusyAndTimeoutsApplyAfterTheUpload() {
+            serveCallsToMeasureDurations();
+            String server = sendUpload();
+            proxy.advanceMs(20_000);
+            proxy.logic.uploadCompleted(proxy.nowUs, "up");
+            String otherServer = proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE));
+            assertNotEquals(server, otherServer, "the server works on the uploaded request now");
+            proxy.advanceMs(900);
+            proxy.endAttempt("up", Outcome.TIMEOUT);
+            assertTrue(proxy.hasAction("fail up") || proxy.hasAction("refuse up"));
         }
 
         @Test
-        void aBodyOfWhichPartIsGoneIsNotSentAgain() {
-            upload();
-            p.logic.bodyDiscarded(p.now, "up");
-            p.end("up", Outcome.CONNECT_FAILED);
-            assertEquals(1, p.attempts.get("up"));
-            assertTrue(p.did("refuse up"), "nothing ran, so the client may come again");
+        void requestWithAPartlyDiscardedBodyIsNotRetried() {
+            sendUpload();
+            proxy.logic.bodyDiscarded(proxy.nowUs, "up");
+            proxy.endAttempt("up", Outcome.CONNECT_FAILED);
+            assertEquals(1, proxy.attemptCounts.get("up"));
+            assertTrue(proxy.hasAction("refuse up"), "the request did not run, so the client may retry");
         }
 
         @Test
-        void aBodyThatIsStillHeldGoesToTheOtherServer() {
-            upload();
-            p.end("up", Outcome.CONNECT_FAILED);
-            assertEquals(2, p.attempts.get("up"));
+        void requestWithAFullyBufferedBodyIsRetriedOnTheOtherServer() {
+            sendUpload();
+            proxy.endAttempt("up", Outcome.CONNECT_FAILED);
+            assertEquals(2, proxy.attemptCounts.get("up"));
         }
 
         @Test
-        void anAnswerThatHasBegunFreesItsServerAndIsNeverOverdue() {
-            learn();
-            String request = p.request(Proxy.SAFE);
-            String server = p.at(request);
-            p.pass(50);
-            p.logic.streamStarted(p.now, request, 0, server, 50 * MS);
-            Set<String> taken = twoMore();
-            assertEquals(Set.of("a", "b"), taken);
-            p.pass(60_000);
-            assertEquals(1, p.attempts.get(request));
-            p.end(request, Outcome.RESET);
-            assertFalse(p.did("fail " + request) || p.did("refuse " + request), "the client has its answer");
+        void serverOfAStreamedAnswerCountsAsIdleAndTheAnswerNeverTimesOut() {
+            serveCallsToMeasureDurations();
+            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String server = proxy.latestServer(request);
+            proxy.advanceMs(50);
+            proxy.logic.streamStarted(proxy.nowUs, request, 0, server, 50 * US_PER_MS);
+            Set<String> usedServers = serversOfTwoMoreRequests();
+            assertEquals(Set.of("a", "b"), usedServers);
+            proxy.advanceMs(60_000);
+            assertEquals(1, proxy.attemptCounts.get(request));
+            proxy.endAttempt(request, Outcome.RESET);
+            assertFalse(proxy.hasAction("fail " + request) || proxy.hasAction("refuse " + request),
+                    "the client already gets its answer");
         }
     }
 }
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -10,91 +10,94 @@
 import larkworks.Balancer.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** What the module makes of what the fleet shares, and what it tells the fleet. */
+/** How the decision module applies verdicts, budgets and affinities of the fleet, and what it publishes. */
 class SharedEventsTest {
 
-    private static final long MS = Proxy.MS;
+    private static final long US_PER_MS = SimulatedProxy.US_PER_MS;
 
-    private static Proxy proxy(String... servers) {
-        return new Proxy(new Proxy.Setup()).with(servers);
+    private static SimulatedProxy proxyWithServers(String... servers) {
+        return new SimulatedProxy(new SimulatedProxy.TestSettings()).withServers(servers);
     }
 
     @Test
-    void aRestByOthersHoldsUntilItsTimeAndTheirDemotionComesLast() {
-        Proxy p = proxy("a", "b");
-        p.logic.peerVerdict(p.now, "a", Verdict.RESTS, p.now + 500 * MS);
-        assertEquals("b", p.serve());
-        assertEquals("b", p.serve());
-        p.pass(600);
-        assertEquals("a", p.serve());
-        p.logic.peerVerdict(p.now, "b", Verdict.DEMOTED, p.now + 500 * MS);
-        assertEquals("a", p.serve());
-        assertEquals("a", p.serve());
-        p.logic.peerVerdict(p.now, "b", Verdict.DEMOTED, p.now);
-        assertEquals("b", p.serve(), "taken back");
+    void peerEjectionHoldsUntilItExpiresAndPeerDemotedServerIsUsedLast() {
+        SimulatedProxy proxy = proxyWithServers("a", "b");
+        proxy.logic.peerVerdict(proxy.nowUs, "a", Verdict.RESTS, proxy.nowUs + 500 * US_PER_MS);
+        assertEquals("b", proxy.serveRequest());
+        assertEquals("b", proxy.serveRequest());
+        proxy.advanceMs(600);
+        assertEquals("a", proxy.serveRequest());
+        proxy.logic.peerVerdict(proxy.nowUs, "b", Verdict.DEMOTED, proxy.nowUs + 500 * US_PER_MS);
+        assertEquals("a", proxy.serveRequest());
+        assertEquals("a", proxy.serveRequest());
+        proxy.logic.peerVerdict(proxy.nowUs, "b", Verdict.DEMOTED, proxy.nowUs);
+        assertEquals("b", proxy.serveRequest(), "the demotion was withdrawn");
     }
 
     @Test
-    void aRestByOthersOnlyDemotesAServerThatAnsweredJustNow() {
-        Proxy p = proxy("a", "b");
-        String first = p.serve();
-        String second = p.serve();
-        p.logic.peerVerdict(p.now, first, Verdict.RESTS, p.now + 500 * MS);
-        assertEquals(second, p.at(p.request(Proxy.SAFE)));
-        assertEquals(first, p.at(p.request(Proxy.SAFE)), "demoted, not at rest: the other is busy");
+    void peerEjectionOnlyDemotesAServerThatAnsweredRecently() {
+        SimulatedProxy proxy = proxyWithServers("a", "b");
+        String firstServer = proxy.serveRequest();
+        String secondServer = proxy.serveRequest();
+        proxy.logic.peerVerdict(proxy.nowUs, firstServer, Verdict.RESTS, proxy.nowUs + 500 * US_PER_MS);
+        assertEquals(secondServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+        assertEquals(firstServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+                "demoted, not ejected: it is used as the other server is busy");
     }
 
     @Test
-    void tellsWhatFailedToConnectAndThatItIsWellAgain() {
-        Proxy p = proxy("a", "b", "c");
-        String request = p.request(Proxy.SAFE);
-        String server = p.at(request);
-        p.end(request, Outcome.CONNECT_FAILED);
-        assertTrue(p.did("verdict " + server + " DEMOTED"));
-        String again = p.request(Proxy.SAFE);
-        String third = p.request(Proxy.SAFE);
-        String fourth = p.request(Proxy.SAFE);
-        for (String r : List.of(again, third, fourth)) {
-            p.end(r, Outcome.OK);
+    void publishesDemotionAfterConnectFailureAndWithdrawsItAfterRecovery() {
+        SimulatedProxy proxy = proxyWithServers("a", "b", "c");
+        String request = proxy.sendRequest(SimulatedProxy.SAFE);
+        String server = proxy.latestServer(request);
+        proxy.endAttempt(request, Outcome.CONNECT_FAILED);
+        assertTrue(proxy.hasAction("verdict " + server + " DEMOTED"));
+        String secondRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+        String thirdRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+        String fourthRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+        for (String laterRequest : List.of(secondRequest, thirdRequest, fourthRequest)) {
+            proxy.endAttempt(laterRequest, Outcome.OK);
         }
-        assertTrue(p.did("verdict " + server + " DEMOTED back"), p.done.toString());
+        assertTrue(proxy.hasAction("verdict " + server + " DEMOTED back"), proxy.recordedActions.toString());
     }
 
     @Test
-    void aServerWhoseBudgetIsSpentGetsNothingUntilMoreIsSaid() {
-        Proxy p = proxy("a", "b");
-        p.logic.serverBudgetChanged(p.now, "a", 1, p.now + 1_000 * MS);
-        Set<String> taken = Set.of(p.serve(), p.serve());
-        assertEquals(Set.of("a", "b"), taken);
-        assertTrue(p.did("budget a spent"));
-        assertEquals("b", p.serve());
-        assertEquals("b", p.serve());
-        assertTrue(p.did("budget a short"));
-        p.logic.serverBudgetChanged(p.now, "a", 5, p.now - 1);
-        assertEquals("b", p.serve(), "its time is over");
-        p.logic.serverBudgetChanged(p.now, "a", 0, 0);
-        assertEquals("a", p.serve(), "no budget any more");
+    void serverWithExhaustedBudgetGetsNoCallsUntilTheBudgetIsRenewedOrRemoved() {
+        SimulatedProxy proxy = proxyWithServers("a", "b");
+        proxy.logic.serverBudgetChanged(proxy.nowUs, "a", 1, proxy.nowUs + 1_000 * US_PER_MS);
+        Set<String> usedServers = Set.of(proxy.serveRequest(), proxy.serveRequest());
+        assertEquals(Set.of("a", "b"), usedServers);
+        assertTrue(proxy.hasAction("budget a spent"));
+        assertEquals("b", proxy.serveRequest());
+        assertEquals("b", proxy.serveRequest());
+        assertTrue(proxy.hasAction("budget a short"));
+        proxy.logic.serverBudgetChanged(proxy.nowUs, "a", 5, proxy.nowUs - 1);
+        assertEquals("b", proxy.serveRequest(), "the new budget has already expired");
+        proxy.logic.serverBudgetChanged(proxy.nowUs, "a", 0, 0);
+        assertEquals("a", proxy.serveRequest(), "the budget was removed");
     }
 
     @Test
-    void requestsBeyondTheirClassesBudgetAreRefusedAtOnce() {
-        Proxy p = proxy("a", "b");
-        p.logic.classBudgetChanged(p.now, Proxy.SAFE, 1, p.now + 1_000 * MS);
-        p.serve();
-        int refused = p.count("refuse");
-        p.request(Proxy.SAFE);
-        assertEquals(refused + 1, p.count("refuse"));
-        assertTrue(p.did("class 0 short"));
-        assertNotEquals(null, p.at(p.request(Proxy.UNSAFE)), "the other class has no budget");
+    void requestsBeyondTheBudgetOfTheirClassAreRefusedAtOnce() {
+        SimulatedProxy proxy = proxyWithServers("a", "b");
+        proxy.logic.classBudgetChanged(proxy.nowUs, SimulatedProxy.SAFE, 1, proxy.nowUs + 1_000 * US_PER_MS);
+        proxy.serveRequest();
+        int refusedBefore = proxy.countActions("refuse");
+        proxy.sendRequest(SimulatedProxy.SAFE);
+        assertEquals(refusedBefore + 1, proxy.countActions("refuse"));
+        assertTrue(proxy.hasAction("class 0 short"));
+        assertNotEquals(null, proxy.latestServer(proxy.sendRequest(SimulatedProxy.UNSAFE)),
+                "no budget is set for the other class");
     }
 
     @Test
-    void aClassGoesToItsServersWhileOneOfThemIsIdleHere() {
-        Proxy p = proxy("a", "b", "c", "d");
-        p.logic.affinityChanged(p.now, Proxy.SAFE, List.of("c"));
-        assertEquals("c", p.serve());
-        assertEquals("c", p.serve());
-        assertEquals("c", p.at(p.request(Proxy.SAFE)));
-        assertNotEquals("c", p.at(p.request(Proxy.SAFE)), "it is busy with a call of this copy");
+    void classUsesItsAffineServersWhileOneOfThemIsIdle() {
+        SimulatedProxy proxy = proxyWithServers("a", "b", "c", "d");
+        proxy.logic.affinityChanged(proxy.nowUs, SimulatedProxy.SAFE, List.of("c"));
+        assertEquals("c", proxy.serveRequest());
+        assertEquals("c", proxy.serveRequest());
+        assertEquals("c", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+        assertNotEquals("c", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+                "its server is busy with a call of this copy");
     }
 }
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -209,7 +209,7 @@
         assertArrayEquals(body, client.readBytes(LARGE_BODY_BYTES));
         writing.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
 
-        BackendPoolTest.letRest();
+        BackendPoolTest.awaitReuseDelay();
         client.send(getRequest("again"));
         server.readHead();
         server.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
--- a/src/test/java/larkworks/proxy/LargeFleet.java
+++ b/src/test/java/larkworks/proxy/LargeFleet.java
@@ -4,27 +4,27 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** Lists and peers as a proxy of a large fleet is told them, for tests and experiments. */
+/** Builds the server lists and the peer configuration of a large fleet for tests and experiments. */
 final class LargeFleet {
 
-    /** Peers stand at addresses of their own, where nobody listens. */
-    private static final int PEERS_A_NET = 250;
+    /** Peers in one /24 network; each peer has an IP address of its own, at which nothing listens. */
+    private static final int PEERS_PER_NETWORK = 250;
 
     private LargeFleet() { }
 
     /**
-     * A whole list, or changes, in a wide form, indented and with long names, some 300 bytes an entry; a
-     * server with a status of null is left out.
+     * Returns a full list or changes as indented JSON with long names, about 300 bytes for each server;
+     * servers whose status is null are omitted.
      */
-    static String list(int index, boolean whole, int size, IntFunction<String> address,
-            IntFunction<String> status) {
+    static String list(int index, boolean isFull, int size, IntFunction<String> addressOf,
+            IntFunction<String> statusOf) {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            if (status.apply(i) != null) {
-                entries.add(entry(i, address.apply(i), status.apply(i)));
+            if (statusOf.apply(i) != null) {
+                entries.add(entry(i, addressOf.apply(i), statusOf.apply(i)));
             }
         }
-        return "{\n    \"index\": " + index + ",\n    \"snapshot\": " + whole + ",\n"
+        return "{\n    \"index\": " + index + ",\n    \"snapshot\": " + isFull + ",\n"
                 + "    \"endpoints\": [" + String.join(",", entries) + "\n    ]\n}";
     }
 
@@ -37,14 +37,15 @@
                 server % 190, server, address, server % 7, status);
     }
 
-    /** The configuration's lines that make a proxy a member among so many, each with its comma. */
-    static String membership(int size, int own, String listen) {
+    /** Returns the JSON settings that make a proxy one of {@code size} members; they end with a comma. */
+    static String membership(int size, int ownIndex, String listenAddress) {
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            peers.add('"' + (i == own ? listen
-                    : "127.31." + (100 + i / PEERS_A_NET) + "." + (1 + i % PEERS_A_NET) + ":7946") + '"');
+            peers.add('"' + (i == ownIndex ? listenAddress
+                    : "127.31." + (100 + i / PEERS_PER_NETWORK) + "." + (1 + i % PEERS_PER_NETWORK) + ":7946")
+                            + '"');
         }
-        return "\"peer_listen\":\"" + listen + "\",\"peers\":[" + String.join(",", peers) + "],\"member\":"
-                + own + ",\"membership\":{},";
+        return "\"peer_listen\":\"" + listenAddress + "\",\"peers\":[" + String.join(",", peers)
+                + "],\"member\":" + ownIndex + ",\"membership\":{},";
     }
 }
--- a/src/test/java/larkworks/proxy/ProxyFleet.java
+++ b/src/test/java/larkworks/proxy/ProxyFleet.java
@@ -22,106 +22,118 @@
 import larkworks.registry.Caller;
 
 /**
- * A fleet for tests: proxy processes whose datagrams pass the {@link UdpRelay}, our list service's process,
- * and backends that answer at once and note when each request came.
+ * A fleet for tests: proxy processes whose datagrams pass through the {@link UdpRelay}, a process of the list
+ * service, and backends that answer all requests and record when each request arrived.
  */
 final class ProxyFleet implements AutoCloseable {
 
     final UdpRelay relay;
-    /** Where the list service listens, before and after a restart. */
-    final String discovery;
-    Program service;
-    final Caller registry;
+    /** The address of the list service, which stays the same when it is restarted. */
+    final String discoveryAddress;
+    Program listService;
+    final Caller registryClient;
     final List<Program> proxies = new ArrayList<>();
-    /** When requests came, by backend, in ms of one monotonic clock. */
-    final Map<String, Queue<Long>> arrivals = new ConcurrentHashMap<>();
-    private final List<HttpServer> backends = new ArrayList<>();
-    private final List<Integer> ports = new ArrayList<>();
-    private final List<Integer> admins = new ArrayList<>();
-    private final List<Path> configs = new ArrayList<>();
+    /** The arrival times of the requests by backend name, in ms of one monotonic clock. */
+    final Map<String, Queue<Long>> arrivalTimesMs = new ConcurrentHashMap<>();
+    private final List<HttpServer> backendServers = new ArrayList<>();
+    private final List<Integer> listenPorts = new ArrayList<>();
+    private final List<Integer> adminPorts = new ArrayList<>();
+    private final List<Path> configFiles = new ArrayList<>();
     private final Path folder;
 
-    /** @param tables further tables of each proxy's configuration, as JSON members, each with its comma */
-    ProxyFleet(int size, Path folder, String tables, long coldUs) throws Exception {
+    /**
+     * Starts the list service and writes the configurations of the proxies.
+     *
+     * @param extraConfig further members of each proxy's JSON configuration, each followed by a comma
+     * @param coldUs the duration of a server's slow start
+     */
+    ProxyFleet(int proxyCount, Path folder, String extraConfig, long coldUs) throws Exception {
         this.folder = folder;
-        List<InetSocketAddress> backs = new ArrayList<>();
-        while (backs.size() < size) {
-            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName(TestBench.HOST))) {
-                InetSocketAddress back = (InetSocketAddress) free.getLocalSocketAddress();
-                if (!backs.contains(back)) {
-                    backs.add(back);
+        List<InetSocketAddress> memberAddresses = new ArrayList<>();
+        while (memberAddresses.size() < proxyCount) {
+            try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getByName(TestBench.HOST))) {
+                InetSocketAddress memberAddress = (InetSocketAddress) freeSocket.getLocalSocketAddress();
+                if (!memberAddresses.contains(memberAddress)) {
+                    memberAddresses.add(memberAddress);
                 }
             }
         }
-        relay = new UdpRelay(backs);
-        String discovery = "127.0.0.1:" + TestBench.freePort();
-        this.discovery = discovery;
-        startService();
-        registry = new Caller(discovery);
+        relay = new UdpRelay(memberAddresses);
+        String discoveryAddress = "127.0.0.1:" + TestBench.freePort();
+        this.discoveryAddress = discoveryAddress;
+        startListService();
+        registryClient = new Caller(discoveryAddress);
         List<String> peers = new ArrayList<>();
-        for (int i = 0; i < size; i++) {
+        for (int i = 0; i < proxyCount; i++) {
             peers.add(quoted(relay.front(i)));
         }
         try (TestBench bench = new TestBench(0)) {
-            for (int i = 0; i < size; i++) {
-                ports.add(port());
-                admins.add(port());
-                bench.extraConfig = "\"peer_listen\":" + quoted(backs.get(i)) + ",\"peers\":" + peers
-                        + ",\"peers_all\":" + quoted(relay.everyone()) + ",\"member\":" + i + "," + tables;
-                configs.add(Files.writeString(folder.resolve("proxy" + i + ".json"),
-                        bench.configJson(ports.get(i), "null")
+            for (int i = 0; i < proxyCount; i++) {
+                listenPorts.add(unusedPort());
+                adminPorts.add(unusedPort());
+                bench.extraConfig = "\"peer_listen\":" + quoted(memberAddresses.get(i)) + ",\"peers\":"
+                        + peers
+                        + ",\"peers_all\":" + quoted(relay.everyone()) + ",\"member\":" + i + ","
+                        + extraConfig;
+                configFiles.add(Files.writeString(folder.resolve("proxy" + i + ".json"),
+                        bench.configJson(listenPorts.get(i), "null")
                                 .replace("\"name\":\"n0\"", "\"name\":\"n" + i + "\"")
-                                .replace('"' + bench.discovery.address() + '"', '"' + discovery + '"')
+                                .replace('"' + bench.discovery.address() + '"', '"' + discoveryAddress + '"')
                                 .replace("\"coldUs\":1000000", "\"coldUs\":" + coldUs)));
                 proxies.add(null);
             }
         }
     }
 
-    /** A free port, no other's here: the system gives one twice among a hundred, once it is closed again. */
-    private int port() throws IOException {
+    /**
+     * Returns a free port that this fleet doesn't use yet. Each free port is closed again at once, so the
+     * system may return it a second time; this does happen among a hundred ports.
+     */
+    private int unusedPort() throws IOException {
         int port = TestBench.freePort();
-        while (ports.contains(port) || admins.contains(port)) {
+        while (listenPorts.contains(port) || adminPorts.contains(port)) {
             port = TestBench.freePort();
         }
         return port;
     }
 
-    private static String quoted(InetSocketAddress a) {
-        return "\"" + a.getAddress().getHostAddress() + ":" + a.getPort() + "\"";
+    private static String quoted(InetSocketAddress address) {
+        return "\"" + address.getAddress().getHostAddress() + ":" + address.getPort() + "\"";
     }
 
-    /** Starts the list service, anew where it ran before. */
-    void startService() throws Exception {
-        service = new Program("", Map.of(), "registry", "--listen", discovery, "--data",
+    /** Starts or restarts the list service. */
+    void startListService() throws Exception {
+        listService = new Program("", Map.of(), "registry", "--listen", discoveryAddress, "--data",
                 folder.resolve("registry").toString());
-        service.logged("serving");
+        listService.awaitLogLine("serving");
     }
 
-    /** Starts proxy i, anew where it ran before. */
-    void start(int i) throws Exception {
-        Path own = Files.createDirectories(folder.resolve("tmp" + i));
-        proxies.set(i, new Program("", Map.of("GW_CONFIG", configs.get(i).toString(), "GW_ADMIN_ADDR",
-                TestBench.HOST + ":" + admins.get(i), "TMPDIR", own.toString()), "proxy"));
+    /** Starts or restarts the proxy with index {@code i}. */
+    void startProxy(int i) throws Exception {
+        Path processFolder = Files.createDirectories(folder.resolve("tmp" + i));
+        proxies.set(i, new Program("", Map.of("GW_CONFIG", configFiles.get(i).toString(), "GW_ADMIN_ADDR",
+                TestBench.HOST + ":" + adminPorts.get(i), "TMPDIR", processFolder.toString()), "proxy"));
     }
 
-    /** Starts all, and waits until each is ready. */
-    void start() throws Exception {
+    /** Starts all proxies and waits until each is ready. */
+    void startAll() throws Exception {
         for (int i = 0; i < proxies.size(); i++) {
-            start(i);
+            startProxy(i);
         }
-        Program.await(180, () -> "not all ready", () -> java.util.stream.IntStream.range(0, proxies.size())
-                .allMatch(i -> ask(i, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200));
+        Program.await(180, () -> "not all proxies are ready",
+                () -> java.util.stream.IntStream.range(0, proxies.size())
+                        .allMatch(i -> requestStatus(i,
+                                "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200));
     }
 
-    /** A backend that answers at once, listed under this name. */
-    void backend(String name, long sinceMs) throws Exception {
-        backend(name, sinceMs, 0);
+    /** Starts a backend that answers at once, and registers it under the given name. */
+    void startBackend(String name, long sinceMs) throws Exception {
+        startBackend(name, sinceMs, 0);
     }
 
-    /** A backend that answers after so many ms. */
-    void backend(String name, long sinceMs, int afterMs) throws Exception {
-        Queue<Long> came = new ConcurrentLinkedQueue<>();
+    /** Starts a backend that answers after {@code answerDelayMs}, and registers it under the given name. */
+    void startBackend(String name, long sinceMs, int answerDelayMs) throws Exception {
+        Queue<Long> backendArrivalTimesMs = new ConcurrentLinkedQueue<>();
         HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 256);
         server.setExecutor(Executors.newFixedThreadPool(16, task -> {
             Thread thread = new Thread(task, "backend");
@@ -129,9 +141,9 @@
             return thread;
         }));
         server.createContext("/", exchange -> {
-            came.add(System.nanoTime() / 1_000_000);
+            backendArrivalTimesMs.add(System.nanoTime() / 1_000_000);
             try {
-                Thread.sleep(afterMs);
+                Thread.sleep(answerDelayMs);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -139,59 +151,62 @@
             exchange.close();
         });
         server.start();
-        backends.add(server);
-        arrivals.put(name, came);
-        list(name, server.getAddress().getPort(), sinceMs);
+        backendServers.add(server);
+        arrivalTimesMs.put(name, backendArrivalTimesMs);
+        registerServer(name, server.getAddress().getPort(), sinceMs);
     }
 
-    /** Lists an address, where perhaps nobody listens. */
-    void list(String name, int port, long sinceMs) throws Exception {
-        Caller.Answer answer = registry.register(name, "127.0.0.1:" + port, ",\"since_ms\":" + sinceMs);
+    /** Registers a server with the list service, whether or not it listens on the port. */
+    void registerServer(String name, int port, long sinceMs) throws Exception {
+        Caller.Answer answer = registryClient.register(name, "127.0.0.1:" + port, ",\"since_ms\":" + sinceMs);
         if (answer.status() != 200) {
             throw new IOException(answer.toString());
         }
     }
 
-    private int ask(int proxy, String call) {
+    private int requestStatus(int proxy, String request) {
         try (java.net.Socket socket = new java.net.Socket(InetAddress.getByName(TestBench.HOST),
-                ports.get(proxy))) {
+                listenPorts.get(proxy))) {
             socket.setSoTimeout(10_000);
             StubServer.Message answer = new TestBench.Client(socket,
-                    socket.getInputStream()).send(call).answer();
+                    socket.getInputStream()).send(request).answer();
             return answer == null ? -1 : Integer.parseInt(answer.line().split(" ")[1]);
         } catch (IOException e) {
             return -1;
         }
     }
 
-    /** One request of class {@code look} to a proxy; its status, or -1 where there is none. */
-    int look(int proxy) {
-        return ask(proxy, "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: r" + System.nanoTime()
+    /**
+     * Sends a request of class {@code look} to a proxy. Returns the status of the answer, or -1 if there was
+     * no answer.
+     */
+    int sendLook(int proxy) {
+        return requestStatus(proxy, "GET /look HTTP/1.1\r\nHost: x\r\nX-Call-Id: r" + System.nanoTime()
                 + "\r\nX-Call-Class: look\r\nX-Budget-Ms: 5000\r\nConnection: close\r\n\r\n");
     }
 
-    /** What a proxy's second address shows; empty where it does not answer. */
-    Map<?, ?> table(int proxy, String path) {
-        try (var in = URI.create("http://" + TestBench.HOST + ":" + admins.get(proxy) + path).toURL()
+    /** Returns the JSON object at a path of a proxy's admin address; empty if the proxy doesn't answer. */
+    Map<?, ?> adminJson(int proxy, String path) {
+        try (var input = URI.create("http://" + TestBench.HOST + ":" + adminPorts.get(proxy) + path).toURL()
                 .openStream()) {
-            return Json.object(in.readAllBytes());
+            return Json.object(input.readAllBytes());
         } catch (IOException e) {
             return Map.of();
         }
     }
 
-    /** The verdicts in force at a proxy, each as {@code SERVER REASON}. */
-    java.util.Set<String> verdicts(int proxy) {
-        if (!(table(proxy, "/ops/shared").get("verdicts") instanceof Map<?, ?> verdicts)) {
+    /** Returns the verdicts in force at a proxy, each as {@code SERVER REASON}. */
+    java.util.Set<String> verdictsInForce(int proxy) {
+        if (!(adminJson(proxy, "/ops/shared").get("verdicts") instanceof Map<?, ?> verdicts)) {
             return java.util.Set.of("no answer");
         }
         return ((List<?>) verdicts.get("in_force")).stream().map(v -> (Map<?, ?>) v)
                 .map(v -> v.get("server") + " " + v.get("reason")).collect(Collectors.toSet());
     }
 
-    /** Members that a proxy holds alive. */
-    long alive(int proxy) {
-        return table(proxy, "/ops/members").get("members") instanceof List<?> rows
+    /** Returns the number of members that a proxy considers alive. */
+    long aliveMemberCount(int proxy) {
+        return adminJson(proxy, "/ops/members").get("members") instanceof List<?> rows
                 ? rows.stream().filter(r -> "alive".equals(((Map<?, ?>) r).get("state"))).count() : 0;
     }
 
@@ -202,8 +217,8 @@
                 proxy.close();
             }
         }
-        service.close();
+        listService.close();
         relay.close();
-        backends.forEach(server -> server.stop(0));
+        backendServers.forEach(server -> server.stop(0));
     }
 }
--- a/src/test/java/larkworks/proxy/ProxyMembersTest.java
+++ b/src/test/java/larkworks/proxy/ProxyMembersTest.java
@@ -18,33 +18,38 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Membership inside real proxy processes, read at their second addresses. */
+/** Tests the membership of real proxy processes, as shown at their admin addresses. */
 @Timeout(120)
 class ProxyMembersTest {
 
     @TempDir
     Path folder;
 
-    private final List<Integer> admins = new ArrayList<>();
+    private final List<Integer> adminPorts = new ArrayList<>();
 
-    /** What a process holds of a member; a process that does not answer yet holds nothing. */
-    private String held(int by, int about) {
-        try (var in = URI.create("http://" + TestBench.HOST + ":" + admins.get(by) + "/ops/members").toURL()
-                .openStream()) {
-            Map<?, ?> table = Json.object(in.readAllBytes());
-            assertEquals(by, table.get("self"));
-            return String.valueOf(((Map<?, ?>) ((List<?>) table.get("members")).get(about)).get("state"));
+    /**
+     * Returns the state of a member as one of the processes sees it, or the text of the error if that process
+     * doesn't answer yet.
+     */
+    private String memberState(int observer, int member) {
+        try (var input = URI.create("http://" + TestBench.HOST + ":" + adminPorts.get(observer)
+                + "/ops/members")
+                .toURL().openStream()) {
+            Map<?, ?> membersJson = Json.object(input.readAllBytes());
+            assertEquals(observer, membersJson.get("self"));
+            return String.valueOf(
+                    ((Map<?, ?>) ((List<?>) membersJson.get("members")).get(member)).get("state"));
         } catch (IOException e) {
             return e.toString();
         }
     }
 
     @Test
-    void proxiesSeeEachOtherLeaveAndDie() throws Exception {
+    void proxiesDetectMembersThatLeaveOrDie() throws Exception {
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName(TestBench.HOST))) {
-                peers.add('"' + TestBench.HOST + ":" + free.getLocalPort() + '"');
+            try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getByName(TestBench.HOST))) {
+                peers.add('"' + TestBench.HOST + ":" + freeSocket.getLocalPort() + '"');
             }
         }
         List<Process> processes = new ArrayList<>();
@@ -52,21 +57,21 @@
             for (int i = 0; i < 4; i++) {
                 bench.extraConfig = "\"peer_listen\":" + peers.get(i) + ",\"peers\":" + peers
                         + ",\"membership\":{\"probe_interval_ms\":200,\"probe_timeout_ms\":80},";
-                Path file = Files.writeString(folder.resolve(i + ".json"),
+                Path configFile = Files.writeString(folder.resolve(i + ".json"),
                         bench.configJson(TestBench.freePort(), bench.fullList(1)));
-                admins.add(TestBench.freePort());
+                adminPorts.add(TestBench.freePort());
                 ProcessBuilder builder = new ProcessBuilder("java", "-XX:+UseSerialGC", "-Xmx40m", "-cp",
                         System.getProperty("java.class.path"), "larkworks.cli.Larkworks", "proxy")
                         .redirectError(folder.resolve(i + ".log").toFile());
-                builder.environment().putAll(Map.of("GW_CONFIG", file.toString(), "GW_ADMIN_ADDR",
-                        TestBench.HOST + ":" + admins.get(i), "TMPDIR", folder.toString()));
+                builder.environment().putAll(Map.of("GW_CONFIG", configFile.toString(), "GW_ADMIN_ADDR",
+                        TestBench.HOST + ":" + adminPorts.get(i), "TMPDIR", folder.toString()));
                 processes.add(builder.start());
             }
-            await(() -> List.of(0, 1, 2, 3).stream().allMatch(i -> held(i, 3).equals("alive")));
+            await(() -> List.of(0, 1, 2, 3).stream().allMatch(i -> memberState(i, 3).equals("alive")));
             processes.get(3).destroy();
-            await(() -> List.of(0, 1, 2).stream().allMatch(i -> held(i, 3).equals("left")));
+            await(() -> List.of(0, 1, 2).stream().allMatch(i -> memberState(i, 3).equals("left")));
             processes.get(2).destroyForcibly();
-            await(() -> held(0, 2).equals("dead") && held(1, 2).equals("dead"));
+            await(() -> memberState(0, 2).equals("dead") && memberState(1, 2).equals("dead"));
             String log = Files.readString(folder.resolve("0.log"));
             assertTrue(log.contains("\"about\":3,\"from\":\"alive\",\"to\":\"left\""), log);
         } finally {
@@ -75,9 +80,9 @@
     }
 
     private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "not in time");
+            assertTrue(System.nanoTime() < deadlineNs, "the condition did not hold within 30 s");
             Thread.sleep(50);
         }
     }
--- a/src/test/java/larkworks/proxy/ReadinessTest.java
+++ b/src/test/java/larkworks/proxy/ReadinessTest.java
@@ -10,19 +10,19 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A proxy becomes ready in time, whatever becomes of its first call to discovery (issue 20, step 4). */
+/** Tests that a proxy is ready in time even if its first call to discovery hangs or is slow (issue 20). */
 @Timeout(120)
 class ReadinessTest {
 
-    /** Between two bytes of an answer: well below the pause after which it would be given up. */
-    private static final long DRIP_MS = 100;
+    /** Pause after each byte of an answer, well below the 1 s after which a stalled answer times out. */
+    private static final long BYTE_INTERVAL_MS = 100;
 
     @TempDir
     Path folder;
 
     private static void awaitReady(TestBench bench) throws Exception {
         TestBench.Client client = bench.client();
-        Program.await((int) StubServer.TIMEOUT_S, () -> "never ready", () -> {
+        Program.await((int) StubServer.TIMEOUT_S, () -> "the proxy did not become ready", () -> {
             try {
                 return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
             } catch (java.io.IOException e) {
@@ -31,9 +31,9 @@
         });
     }
 
-    /** What is known from before serves; the call that never ends is given up and made anew. */
+    /** The proxy serves by the list in its configuration; a call that hangs times out and is repeated. */
     @Test
-    void isReadyWhereDiscoveryHangsForEverAndKeepsAskingIt() throws Exception {
+    void isReadyThoughDiscoveryHangsAndKeepsCallingIt() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
             awaitReady(bench);
             assertEquals(0, bench.serveOneRequest());
@@ -44,36 +44,38 @@
         }
     }
 
-    /** An answer may go on for 4 s once it has begun; what is left of it counts when it comes. */
+    /** An answer may take 4 s from its first byte; a list completed after readiness is still applied. */
     @Test
-    void isReadyWhileTheFirstListStillComesAndTakesItThen() throws Exception {
+    void isReadyWhileTheFirstListIsIncompleteAndAppliesItLater() throws Exception {
         try (TestBench bench = new TestBench(2)) {
             String list = TestBench.listJson(7, true, bench.entry(1, "in_service"));
-            String known = TestBench.listJson(1, true, bench.entry(0, "in_service"));
-            bench.start(folder, known);
-            StubServer.Message asked = bench.discovery.next();
-            asked.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
-            int[] sent = {0};
-            Thread drip = new Thread(() -> {
+            String knownList = TestBench.listJson(1, true, bench.entry(0, "in_service"));
+            bench.start(folder, knownList);
+            StubServer.Message listCall = bench.discovery.next();
+            listCall.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
+            int[] sentBytes = {0};
+            Thread byteSender = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
-                    asked.sendRaw(list.substring(sent[0], ++sent[0]));
+                    listCall.sendRaw(list.substring(sentBytes[0], ++sentBytes[0]));
                     try {
-                        Thread.sleep(DRIP_MS);
+                        Thread.sleep(BYTE_INTERVAL_MS);
                     } catch (InterruptedException e) {
                         return;
                     }
                 }
             });
-            drip.setDaemon(true);
-            drip.start();
+            byteSender.setDaemon(true);
+            byteSender.start();
             awaitReady(bench);
-            drip.interrupt();
-            drip.join(TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_S));
-            assertTrue(asked.connectionEnded().getCount() > 0, "ready only once the answer was given up");
-            asked.sendRaw(list.substring(sent[0]));
-            // Given up, it would ask for the whole list anew.
-            assertTrue(bench.discovery.next().line().contains("?index=7&"), "the list that came is not held");
-            assertEquals(1, bench.serveOneRequest(), "by the list that came");
+            byteSender.interrupt();
+            byteSender.join(TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_S));
+            assertTrue(listCall.connectionEnded().getCount() > 0,
+                    "the proxy must be ready while it still reads the answer");
+            listCall.sendRaw(list.substring(sentBytes[0]));
+            // If the answer had timed out, the proxy would not ask from index 7 on.
+            assertTrue(bench.discovery.next().line().contains("?index=7&"),
+                    "the received list was not applied");
+            assertEquals(1, bench.serveOneRequest(), "must be served by the received list");
         }
     }
 }
--- a/src/test/java/larkworks/proxy/StartupExperiment.java
+++ b/src/test/java/larkworks/proxy/StartupExperiment.java
@@ -14,64 +14,66 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Issue 20's figures of start-up, not a test, from the root after a build:
- * {@code java -cp CLASSES larkworks.proxy.StartupExperiment CORES ADMIN N[,N...] [WAY...]}. N processes of
- * {@code run} start at once on the cores named (as taskset takes them), with a second address where ADMIN
- * is {@code admin}; for each way of discovery it prints the time from start to the first 200 of
- * {@code GET /health/ready}, and the processor time that a process had used by then.
+ * Measures the start-up of proxies. This is not a test; run it from the root directory after a build with
+ * {@code java -cp CLASSES larkworks.proxy.StartupExperiment CORES ADMIN N[,N...] [MODE...]}. It starts N
+ * processes at once, with the deploy file's {@code run} command, on the given cores (in the form that taskset
+ * takes). They have an admin address if ADMIN is {@code admin}. For each response mode of the discovery stub,
+ * it prints the time from the start to the first status 200 of {@code GET /health/ready}, and the processor
+ * time that a process had used by then.
  */
 public final class StartupExperiment {
 
-    /** An address that nobody else here listens at, so that a port that was free still is. */
+    /** An address at which nothing else on this machine listens, so that a free port stays free. */
     private static final String HOST = "127.31.7.3";
-    private static final int BACKENDS = 10;
-    private static final long POLL_MS = 20;
-    private static final long LIMIT_S = 60;
+    private static final int BACKEND_COUNT = 10;
+    private static final long POLL_INTERVAL_MS = 20;
+    private static final long READY_TIMEOUT_S = 60;
 
     private StartupExperiment() { }
 
-    /** Runs the experiment; arguments as above. */
+    /** Runs the experiment; the class comment describes the arguments. */
     public static void main(String[] args) throws Exception {
-        List<DiscoveryStandIn.Way> ways = args.length > 3
-                ? Arrays.stream(args).skip(3).map(DiscoveryStandIn.Way::valueOf).toList()
-                : List.of(DiscoveryStandIn.Way.values());
-        for (String n : args[2].split(",")) {
-            for (DiscoveryStandIn.Way way : ways) {
-                measure(args[0], args[1].equals("admin"), Integer.parseInt(n), way);
+        List<DiscoveryStub.ResponseMode> modes = args.length > 3
+                ? Arrays.stream(args).skip(3).map(DiscoveryStub.ResponseMode::valueOf).toList()
+                : List.of(DiscoveryStub.ResponseMode.values());
+        for (String processCountText : args[2].split(",")) {
+            for (DiscoveryStub.ResponseMode mode : modes) {
+                measure(args[0], args[1].equals("admin"), Integer.parseInt(processCountText), mode);
             }
         }
-        System.exit(0);  // the stand-in's server leaves threads that hold the process
+        System.exit(0);  // the stub's server leaves threads that keep the process alive
     }
 
-    private static void measure(String cores, boolean admin, int size, DiscoveryStandIn.Way way)
-            throws Exception {
-        String[] entries = new String[BACKENDS];
-        for (int i = 0; i < BACKENDS; i++) {
+    private static void measure(String cores, boolean hasAdminAddress, int processCount,
+            DiscoveryStub.ResponseMode mode) throws Exception {
+        String[] entries = new String[BACKEND_COUNT];
+        for (int i = 0; i < BACKEND_COUNT; i++) {
             entries[i] = TestBench.entry("b" + i, "127.0.0.1:" + (i + 1), "in_service");
         }
-        String list = TestBench.listJson(1, true, entries);
+        String listJson = TestBench.listJson(1, true, entries);
         Path folder = Files.createTempDirectory("startup");
-        List<RunCommand> processes = new ArrayList<>();
-        long[] ms = new long[size];
-        long[] ticks = new long[size];
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(way, list);
+        List<ProxyProcess> processes = new ArrayList<>();
+        long[] readyAfterMs = new long[processCount];
+        long[] cpuTicks = new long[processCount];
+        try (DiscoveryStub discovery = new DiscoveryStub(mode, listJson);
                 TestBench bench = new TestBench(0)) {
             Set<Integer> ports = new HashSet<>();
-            while (ports.size() < 2 * size) {
-                ports.add(TestBench.freePort());  // the system may give one twice, once it is closed again
+            while (ports.size() < 2 * processCount) {
+                ports.add(TestBench.freePort());  // may return a port twice, since it is closed again
             }
-            List<Integer> free = List.copyOf(ports);
+            List<Integer> freePorts = List.copyOf(ports);
             List<Thread> pollers = new ArrayList<>();
-            for (int i = 0; i < size; i++) {
-                Path own = Files.createDirectory(folder.resolve("own" + i));
+            for (int i = 0; i < processCount; i++) {
+                Path processFolder = Files.createDirectory(folder.resolve("own" + i));
                 Path config = Files.writeString(folder.resolve("config" + i + ".json"),
-                        bench.configJson(free.get(i), list).replace(TestBench.HOST, HOST)
+                        bench.configJson(freePorts.get(i), listJson).replace(TestBench.HOST, HOST)
                                 .replace(bench.discovery.address(), discovery.address()));
-                RunCommand run = new RunCommand(cores, config, own, admin
-                        ? Map.of("GW_ADMIN_ADDR", HOST + ":" + free.get(size + i)) : Map.of());
-                processes.add(run);
-                int at = i;
-                Thread poller = new Thread(() -> ms[at] = awaitReady(run, free.get(at), ticks, at));
+                ProxyProcess proxyProcess = new ProxyProcess(cores, config, processFolder, hasAdminAddress
+                        ? Map.of("GW_ADMIN_ADDR", HOST + ":" + freePorts.get(processCount + i)) : Map.of());
+                processes.add(proxyProcess);
+                int index = i;
+                Thread poller = new Thread(() -> readyAfterMs[index] =
+                        awaitReady(proxyProcess, freePorts.get(index), cpuTicks, index));
                 poller.setDaemon(true);
                 poller.start();
                 pollers.add(poller);
@@ -79,41 +81,43 @@
             for (Thread poller : pollers) {
                 poller.join();
             }
-            Arrays.sort(ms);
-            Arrays.sort(ticks);
+            Arrays.sort(readyAfterMs);
+            Arrays.sort(cpuTicks);
             System.out.printf("%-8s n=%-3d %s: ready after median=%.2f s p90=%.2f s max=%.2f s, processor "
-                    + "time median=%.2f s max=%.2f s, list asked for %d times%n", way, size,
-                    admin ? "second address" : "one address", ms[size / 2] / 1e3,
-                    ms[(int) Math.ceil(0.9 * size) - 1] / 1e3, ms[size - 1] / 1e3, ticks[size / 2] / 1e2,
-                    ticks[size - 1] / 1e2, discovery.calls.get());
+                    + "time median=%.2f s max=%.2f s, list requested %d times%n", mode, processCount,
+                    hasAdminAddress ? "admin address" : "no admin address",
+                    readyAfterMs[processCount / 2] / 1e3,
+                    readyAfterMs[(int) Math.ceil(0.9 * processCount) - 1] / 1e3,
+                    readyAfterMs[processCount - 1] / 1e3, cpuTicks[processCount / 2] / 1e2,
+                    cpuTicks[processCount - 1] / 1e2, discovery.fullListCalls.get());
         } finally {
-            processes.forEach(RunCommand::close);
-            for (RunCommand run : processes) {
-                run.process.waitFor();
+            processes.forEach(ProxyProcess::close);
+            for (ProxyProcess proxyProcess : processes) {
+                proxyProcess.process.waitFor();
             }
         }
     }
 
-    private static long awaitReady(RunCommand run, int port, long[] ticks, int at) {
-        while (System.nanoTime() - run.startedNs < TimeUnit.SECONDS.toNanos(LIMIT_S)) {
+    private static long awaitReady(ProxyProcess proxyProcess, int port, long[] cpuTicks, int index) {
+        while (System.nanoTime() - proxyProcess.startNs < TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S)) {
             try (Socket socket = new Socket(InetAddress.getByName(HOST), port)) {
                 socket.setSoTimeout(10_000);
                 StubServer.Message answer = new TestBench.Client(socket, socket.getInputStream())
                         .send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer();
                 if (answer != null && answer.line().split(" ")[1].equals("200")) {
-                    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - run.startedNs);
-                    ticks[at] = run.processorTicks();
+                    long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - proxyProcess.startNs);
+                    cpuTicks[index] = proxyProcess.cpuTicks();
                     return tookMs;
                 }
             } catch (IOException e) {
-                // Nobody listens yet, or not for long.
+                // The process does not listen yet, or does not answer yet.
             }
             try {
-                Thread.sleep(POLL_MS);
+                Thread.sleep(POLL_INTERVAL_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
-        throw new IllegalStateException("not ready after " + LIMIT_S + " s, port " + port);
+        throw new IllegalStateException("not ready after " + READY_TIMEOUT_S + " s, port " + port);
     }
 }
