--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -33,17 +33,17 @@
     Path folder;
 
     private int adminPort;
-    private Bench bench;
+    private TestBench bench;
 
     @BeforeEach
     void setUp() throws IOException {
-        bench = new Bench(2);
+        bench = new TestBench(2);
         assignAdminAddress();
     }
 
     private void assignAdminAddress() throws IOException {
-        adminPort = Bench.freePort();
-        bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR",
+        adminPort = TestBench.freePort();
+        bench.environment = Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + adminPort, "TMPDIR",
                 folder.toString());
     }
 
@@ -54,12 +54,12 @@
 
     /** Starts the proxy with a discovery that lists all backends. */
     private void start() throws Exception {
-        bench.list(bench.all(7));
-        bench.start(folder, bench.all(7));
+        bench.answerDiscoveryWith(bench.fullList(7));
+        bench.start(folder, bench.fullList(7));
     }
 
     private int call(String method, String path, String body) throws IOException {
-        return Bench.call(adminPort, method, path, body);
+        return TestBench.callAdmin(adminPort, method, path, body);
     }
 
     private int sendBackendCommand(String command, String id) throws IOException {
@@ -76,9 +76,9 @@
             }
         });
         startThread.start();
-        Peer.Message firstCall = bench.discovery.next();
-        assertEquals(503, Bench.awaitCall(adminPort, "GET", "/ops/readiness"));
-        firstCall.reply(200, bench.all(7));
+        StubServer.Message firstCall = bench.discovery.next();
+        assertEquals(503, TestBench.awaitAdminCall(adminPort, "GET", "/ops/readiness"));
+        firstCall.reply(200, bench.fullList(7));
         startThread.join();
         assertEquals(200, call("GET", "/ops/readiness", ""));
     }
@@ -94,9 +94,10 @@
 
     @Test
     void acceptsNoConnectionsIfDrainedDuringWarmUp() throws Exception {
-        int port = Bench.freePort();
-        bench.list(bench.all(7));
-        Path file = Files.writeString(folder.resolve("config.json"), bench.config(port, bench.all(7)));
+        int port = TestBench.freePort();
+        bench.answerDiscoveryWith(bench.fullList(7));
+        Path file = Files.writeString(folder.resolve("config.json"),
+                bench.configJson(port, bench.fullList(7)));
         Main main = new Main(Config.read(file.toString(), bench.environment, Map.of()));
         main.start();
         // Queued in the event loop after the start of the warm-up and before its end, some iterations later.
@@ -104,7 +105,7 @@
         int acceptedConnections = 0;
         while (!ended.isDone()) {
             try {
-                new Socket(InetAddress.getByName(Bench.HOST), port).close();
+                new Socket(InetAddress.getByName(TestBench.HOST), port).close();
                 acceptedConnections++;
             } catch (ConnectException e) {
                 Thread.sleep(5);
@@ -121,16 +122,16 @@
         assertEquals(200, sendBackendCommand("down", "b0"));
         assertEquals(200, sendBackendCommand("down", "b0"));
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, bench.served());
+            assertEquals(1, bench.serveOneRequest());
         }
-        bench.list(Bench.list(8, false, bench.entry(0, "in_service")));
+        bench.answerDiscoveryWith(TestBench.listJson(8, false, bench.entry(0, "in_service")));
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, bench.served());
+            assertEquals(1, bench.serveOneRequest());
         }
         assertEquals(200, sendBackendCommand("up", "b0"));
         assertEquals(200, sendBackendCommand("up", "b0"), "the command may be repeated");
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-        while (bench.served() != 0) {
+        while (bench.serveOneRequest() != 0) {
             assertTrue(System.nanoTime() < deadlineNs, "b0 received no request for 5 s");
         }
     }
@@ -139,13 +140,13 @@
     void closesIdleConnectionsToABackendInMaintenance() throws Exception {
         start();
         assertEquals(200, sendBackendCommand("down", "b1"));
-        Bench.Client client = bench.client().look("r");
-        Peer.Message backendRequest = bench.backends.get(0).next();
+        TestBench.Client client = bench.client().sendLook("r");
+        StubServer.Message backendRequest = bench.backends.get(0).next();
         backendRequest.reply(200, "");
         assertEquals(200, client.status());
         assertEquals(200, sendBackendCommand("up", "b1"));
         assertEquals(200, sendBackendCommand("down", "b0"));
-        backendRequest.awaitEnd();
+        backendRequest.awaitConnectionEnd();
     }
 
     @Test
@@ -157,7 +158,7 @@
         assignAdminAddress();
         start();
         for (int i = 0; i < 4; i++) {
-            assertEquals(1, bench.served());
+            assertEquals(1, bench.serveOneRequest());
         }
         assertEquals(200, sendBackendCommand("up", "b0"));
     }
@@ -182,14 +183,16 @@
         start();
         int status = call(method, path, body);
         assertTrue(status >= 400 && status < 500, "status " + status);
-        assertTrue(bench.served() + bench.served() == 1, "requests must alternate between both backends");
+        assertTrue(bench.serveOneRequest() + bench.serveOneRequest() == 1,
+                "requests must alternate between both backends");
     }
 
     @Test
     void rejectsAnOversizedBody() throws Exception {
         start();
         assertEquals(413, sendBackendCommand("down", "b0" + " ".repeat(100_000)));
-        assertTrue(bench.served() + bench.served() == 1, "requests must alternate between both backends");
+        assertTrue(bench.serveOneRequest() + bench.serveOneRequest() == 1,
+                "requests must alternate between both backends");
     }
 
     @Test
@@ -198,7 +201,7 @@
         List<Socket> idleSockets = new ArrayList<>();
         try {
             for (int i = 0; i < 200; i++) {
-                Socket idleSocket = new Socket(InetAddress.getByName(Bench.HOST), adminPort);
+                Socket idleSocket = new Socket(InetAddress.getByName(TestBench.HOST), adminPort);
                 idleSockets.add(idleSocket);
                 if (i % 2 == 0) {
                     idleSocket.getOutputStream().write("PUT /ops/backends/down HT".getBytes());
@@ -225,9 +228,9 @@
     }
 
     /** Reads a response; returns null where the connection was closed or reset instead. */
-    private static Peer.Message readOrNullIfClosed(Socket socket) throws IOException {
+    private static StubServer.Message readOrNullIfClosed(Socket socket) throws IOException {
         try {
-            return Peer.Message.read(new BufferedInputStream(socket.getInputStream()), socket,
+            return StubServer.Message.read(new BufferedInputStream(socket.getInputStream()), socket,
                     new java.util.concurrent.CountDownLatch(1));
         } catch (java.net.SocketException e) {
             return null;
@@ -237,35 +240,36 @@
     @Test
     void usesTheAddressInTheConfigurationIfTheEnvironmentHasNone() throws Exception {
         bench.environment = Map.of();
-        bench.more = "\"admin_addr\":\"" + Bench.HOST + ":" + adminPort + "\",";
+        bench.extraConfig = "\"admin_addr\":\"" + TestBench.HOST + ":" + adminPort + "\",";
         start();
         assertEquals(200, call("GET", "/ops/readiness", ""));
         assertEquals(200, sendBackendCommand("down", "b0"), "without TMPDIR the command is kept in memory");
-        assertEquals(1, bench.served());
+        assertEquals(1, bench.serveOneRequest());
     }
 
     @Test
     void startsWithoutItsStateFolderAndStoresCommandsOnceItCanBeCreated() throws Exception {
         Path statePath = Files.writeString(folder.resolve("state"), "a file at the path of the state folder");
-        bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR",
+        bench.environment = Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + adminPort, "TMPDIR",
                 statePath.toString());
         start();
         assertEquals(500, sendBackendCommand("down", "b0"), "the command could not be stored");
         Files.delete(statePath);
-        long deadlineNs = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
+        long deadlineNs = System.nanoTime() + StubServer.TIMEOUT_S * 1_000_000_000L;
         while (sendBackendCommand("down", "b0") != 200 && System.nanoTime() < deadlineNs) {
             Thread.sleep(20);
         }
-        assertEquals(1, bench.served());
+        assertEquals(1, bench.serveOneRequest());
     }
 
     @Test
     void failsToStartAtAnUnusableAdminAddress() throws Exception {
-        Path file = Files.writeString(folder.resolve("c.json"), bench.config(0, "null"));
+        Path file = Files.writeString(folder.resolve("c.json"), bench.configJson(0, "null"));
         assertFailsWithOneLineMessage(() -> Config.read(file.toString(), Map.of("GW_ADMIN_ADDR", "here:1"),
                 Map.of()));
-        try (ServerSocket occupyingSocket = new ServerSocket(0, 1, InetAddress.getByName(Bench.HOST))) {
-            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + occupyingSocket.getLocalPort());
+        try (ServerSocket occupyingSocket = new ServerSocket(0, 1, InetAddress.getByName(TestBench.HOST))) {
+            bench.environment = Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":"
+                    + occupyingSocket.getLocalPort());
             assertFailsWithOneLineMessage(() -> bench.start(folder));
         }
     }
--- a/src/test/java/larkworks/proxy/BackendPoolTest.java
+++ b/src/test/java/larkworks/proxy/BackendPoolTest.java
@@ -32,11 +32,11 @@
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    private Peer backend;
+    private StubServer backend;
 
     @BeforeEach
     void open() throws Exception {
-        backend = new Peer();
+        backend = new StubServer();
     }
 
     @AfterEach
@@ -51,7 +51,7 @@
         return pool;
     }
 
-    private void startExchange(BackendPool pool, Peer peer, FullHttpRequest request) {
+    private void startExchange(BackendPool pool, StubServer peer, FullHttpRequest request) {
         InetSocketAddress address = Config.address(peer.address());
         group.next().execute(() -> pool.startExchange(address, () -> request,
                 a -> outcomes.add(a.outcome())));
@@ -62,7 +62,7 @@
     }
 
     private Outcome nextOutcome() throws InterruptedException {
-        return outcomes.poll(Peer.LIMIT_S, TimeUnit.SECONDS);
+        return outcomes.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     /** Waits until a connection that has just carried an answer can be reused. */
@@ -79,7 +79,7 @@
         BackendPool pool = createPool(new Sockets(4, 0));
         startExchange(pool, backend, newRequest());
         startExchange(pool, backend, newRequest());
-        Peer.Message firstMessage = backend.next();
+        StubServer.Message firstMessage = backend.next();
         backend.next();
         startExchange(pool, backend, newRequest());
         assertEquals(Outcome.NOT_SENT, nextOutcome());
@@ -118,7 +118,7 @@
         assertEquals(Outcome.CANCELLED, nextOutcome(),
                 "the receiver must not be notified before startExchange has returned");
         assertEquals(Outcome.NOT_SENT, nextOutcome());
-        assertEquals(true, calledOnEventLoop.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertEquals(true, calledOnEventLoop.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
         assertEquals(0, sockets.openCount());
         socketsUnavailable.set(false);
         startExchange(pool, backend, newRequest());
@@ -129,17 +129,17 @@
 
     @Test
     void closesIdleConnectionToConnectToAnotherBackend() throws Exception {
-        try (Peer otherBackend = new Peer()) {
+        try (StubServer otherBackend = new StubServer()) {
             Sockets sockets = new Sockets(2, 0);
             BackendPool pool = createPool(sockets);
             sockets.tryAcquire();
             for (int i = 0; i < 2; i++) {
                 startExchange(pool, backend, newRequest());
-                Peer.Message message = backend.next();
+                StubServer.Message message = backend.next();
                 message.reply(200, "");
                 assertEquals(Outcome.OK, nextOutcome());
                 startExchange(pool, otherBackend, newRequest());
-                message.awaitEnd();
+                message.awaitConnectionEnd();
                 otherBackend.next().reply(200, "");
                 assertEquals(Outcome.OK, nextOutcome());
             }
@@ -155,7 +155,7 @@
         backend.next().reply(200, "");
         assertEquals(Outcome.OK, nextOutcome());
         assertEquals(1, backend.connections(), "the next request must reuse the connection");
-        assertEquals(0, backend.waiting());
+        assertEquals(0, backend.pendingMessages());
     }
 
     @Test
@@ -202,10 +202,10 @@
     void rejectsMalformedOrUnsupportedAnswer(String answer) throws Exception {
         BackendPool pool = createPool(new Sockets(16, 0));
         startExchange(pool, backend, newRequest());
-        Peer.Message message = backend.next();
-        message.raw(answer);
+        StubServer.Message message = backend.next();
+        message.sendRaw(answer);
         assertEquals(Outcome.RESET, nextOutcome());
-        message.awaitEnd();
+        message.awaitConnectionEnd();
     }
 
     /**
@@ -217,14 +217,14 @@
         BackendPool pool = createPool(new Sockets(64, 0));
         for (int i = 0; i < 20; i++) {
             startExchange(pool, backend, newRequest());
-            Peer.Message message = backend.next();
-            message.raw("HTTP/1.1 200 OK\r\n\r\nhalf of the bod");
+            StubServer.Message message = backend.next();
+            message.sendRaw("HTTP/1.1 200 OK\r\n\r\nhalf of the bod");
             message.reset();
             assertEquals(Outcome.RESET, nextOutcome());
         }
         startExchange(pool, backend, newRequest());
-        Peer.Message message = backend.next();
-        message.raw("HTTP/1.1 200 OK\r\n\r\nall of it");
+        StubServer.Message message = backend.next();
+        message.sendRaw("HTTP/1.1 200 OK\r\n\r\nall of it");
         message.socket().close();
         assertEquals(Outcome.OK, nextOutcome());
     }
@@ -247,12 +247,12 @@
     void doesNotDeliverSecondAnswerToNextRequest() throws Exception {
         BlockingQueue<String> bodies = startTwoExchanges();
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
-        Peer.Message message = backend.next();
-        message.raw(answer + answer);
-        assertEquals("first", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        message.awaitEnd();
+        StubServer.Message message = backend.next();
+        message.sendRaw(answer + answer);
+        assertEquals("first", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
+        message.awaitConnectionEnd();
         backend.next().reply(200, "next");
-        assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertEquals("next", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     /**
@@ -262,14 +262,14 @@
     @Test
     void doesNotDeliverDelayedSecondAnswerToNextRequest() throws Exception {
         BlockingQueue<String> bodies = startTwoExchanges();
-        Peer.Message message = backend.next();
+        StubServer.Message message = backend.next();
         message.reply(200, "first");
-        assertEquals("first", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        Peer.Message nextMessage = backend.next();
+        assertEquals("first", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
+        StubServer.Message nextMessage = backend.next();
         message.reply(200, "second answer");
         nextMessage.reply(200, "next");
-        assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
-        message.awaitEnd();
+        assertEquals("next", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
+        message.awaitConnectionEnd();
     }
 
     /**
@@ -282,7 +282,7 @@
         InetSocketAddress address = Config.address(backend.address());
         BlockingQueue<String> bodies = new LinkedBlockingQueue<>();
         startExchange(pool, backend, newRequest());
-        Peer.Message message = backend.next();
+        StubServer.Message message = backend.next();
         message.reply(200, "first");
         assertEquals(Outcome.OK, nextOutcome());
         group.next().execute(() -> {
@@ -296,7 +296,7 @@
                     a -> bodies.add(BackendPool.asciiText(a.body())));
         });
         backend.next().reply(200, "next");
-        assertEquals("next", bodies.poll(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertEquals("next", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
     }
 
     @ParameterizedTest
@@ -308,7 +308,7 @@
     void acceptsEveryValidFormOfAnswer(String answer) throws Exception {
         BackendPool pool = createPool(new Sockets(16, 0));
         startExchange(pool, backend, newRequest());
-        backend.next().raw(answer);
+        backend.next().sendRaw(answer);
         assertEquals(Outcome.OK, nextOutcome());
     }
 
--- a/src/test/java/larkworks/proxy/DescriptorReserveTest.java
+++ b/src/test/java/larkworks/proxy/DescriptorReserveTest.java
@@ -41,8 +41,8 @@
      */
     @Test
     void reachesDiscoveryWhileRequestsInFlightUseAllSockets() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.sockets = 8;
+        try (TestBench bench = new TestBench(2)) {
+            bench.maxSockets = 8;
             bench.drainGraceUs = 5_000_000;
             bench.start(folder);
             for (int i = 0; i < 6; i++) {
@@ -50,12 +50,12 @@
                 bench.discovery.next().reply(503, "");
             }
             // Four of the eight descriptors are for connections: two from clients, one to each backend.
-            Bench.Client firstClient = bench.client().look("one");
-            Peer.Message firstRequest = bench.backends.get(bench.awaitBackend()).next();
-            Bench.Client secondClient = bench.client().look("other");
-            Peer.Message secondRequest = bench.backends.get(bench.awaitBackend()).next();
-            Peer.Message recoveredCall = bench.discovery.next();
-            recoveredCall.reply(200, Bench.list(2, true, bench.entry(0, "terminating"),
+            TestBench.Client firstClient = bench.client().sendLook("one");
+            StubServer.Message firstRequest = bench.backends.get(bench.awaitBackendWithRequest()).next();
+            TestBench.Client secondClient = bench.client().sendLook("other");
+            StubServer.Message secondRequest = bench.backends.get(bench.awaitBackendWithRequest()).next();
+            StubServer.Message recoveredCall = bench.discovery.next();
+            recoveredCall.reply(200, TestBench.listJson(2, true, bench.entry(0, "terminating"),
                     bench.entry(1, "terminating")));
             assertTrue(bench.discovery.next().line().contains("index=2"),
                     "the list with the drain must be applied");
@@ -70,7 +70,7 @@
     @Test
     void connectsToDiscoveryWithoutClosingAnotherConnection() throws Exception {
         EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Peer discovery = new Peer()) {
+        try (StubServer discovery = new StubServer()) {
             Sockets sockets = new Sockets(4, 0);
             sockets.setEvictors(() -> {
                 throw new AssertionError("a connection was closed for the one to discovery");
@@ -83,7 +83,7 @@
             Channel channel = sockets.connectReserved(bootstrap, eventLoops.next(),
                     Config.address(discovery.address()),
                     connected -> connectedResult.setSuccess(connected.isSuccess()));
-            assertTrue(connectedResult.get(Peer.LIMIT_S, TimeUnit.SECONDS));
+            assertTrue(connectedResult.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(openBefore, sockets.openCount(), "the connection to discovery must not be counted");
             channel.close().sync();
             assertEquals(openBefore, sockets.openCount(),
@@ -103,34 +103,34 @@
         int descriptorLimit = 128;
         // In production there is one jar on the class path; here each jar needs a descriptor.
         int jarCount = System.getProperty("java.class.path").split(File.pathSeparator).length;
-        int listenPort = Bench.freePort();
-        int adminPort = Bench.freePort();
-        try (Bench bench = new Bench(2)) {
-            bench.sockets = descriptorLimit;
-            bench.at(listenPort);
+        int listenPort = TestBench.freePort();
+        int adminPort = TestBench.freePort();
+        try (TestBench bench = new TestBench(2)) {
+            bench.maxSockets = descriptorLimit;
+            bench.useProxyAt(listenPort);
             Path configFile = Files.writeString(folder.resolve("config.json"),
-                    bench.config(listenPort, bench.all(1)));
+                    bench.configJson(listenPort, bench.fullList(1)));
             try (Program proxy = new Program("ulimit -n " + (descriptorLimit + jarCount - 1),
                     Map.of("GW_CONFIG", configFile.toString(),
-                    "GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR",
+                    "GW_ADMIN_ADDR", TestBench.HOST + ":" + adminPort, "TMPDIR",
                     Files.createDirectories(folder.resolve("own")).toString()), "proxy")) {
-                Peer.Message firstCall = bench.discovery.next();
-                firstCall.reply(200, bench.all(2));
-                Peer.Message watchCall = bench.discovery.next();
+                StubServer.Message firstCall = bench.discovery.next();
+                firstCall.reply(200, bench.fullList(2));
+                StubServer.Message watchCall = bench.discovery.next();
                 Program.await(30, proxy.lines::toString, () -> isReady(adminPort));
 
                 watchCall.reset();
                 connectIdleClients(bench);
-                Peer.Message failedCall = bench.discovery.next();
+                StubServer.Message failedCall = bench.discovery.next();
                 failedCall.reply(503, "");
                 connectIdleClients(bench);
-                Peer.Message recoveredCall = bench.discovery.next();
-                recoveredCall.reply(200, Bench.list(3, true, bench.entry(0, "terminating"),
+                StubServer.Message recoveredCall = bench.discovery.next();
+                recoveredCall.reply(200, TestBench.listJson(3, true, bench.entry(0, "terminating"),
                         bench.entry(1, "in_service")));
                 assertTrue(bench.discovery.next().line().contains("index=3"),
                         "the list with the drain must be applied");
                 for (int i = 0; i < 5; i++) {
-                    assertEquals(1, bench.served());
+                    assertEquals(1, bench.serveOneRequest());
                 }
                 assertTrue(isReady(adminPort), "the admin address must answer");
                 assertFalse(proxy.lines.toString().contains("Too many open files"), proxy.lines::toString);
@@ -138,7 +138,7 @@
         }
     }
 
-    private static void connectIdleClients(Bench bench) throws IOException {
+    private static void connectIdleClients(TestBench bench) throws IOException {
         for (int i = 0; i < IDLE_CLIENT_COUNT; i++) {
             bench.client();
         }
@@ -146,7 +146,7 @@
 
     private static boolean isReady(int adminPort) {
         try {
-            return Bench.call(adminPort, "GET", "/ops/readiness", "") == 200;
+            return TestBench.callAdmin(adminPort, "GET", "/ops/readiness", "") == 200;
         } catch (IOException e) {
             return false;
         }
--- a/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -55,14 +55,14 @@
     }
 
     /** Awaits the call that proves that the proxy accepted the list with this index; returns the call. */
-    private static Peer.Message awaitCallAfterList(Bench bench, int index) throws Exception {
-        Peer.Message call = bench.discovery.next();
+    private static StubServer.Message awaitCallAfterList(TestBench bench, int index) throws Exception {
+        StubServer.Message call = bench.discovery.next();
         assertTrue(call.line().contains("?index=" + index + "&"), call.line());
         return call;
     }
 
     /** Makes a call fail: resets or closes its connection, or answers it without a list. */
-    private static void failCall(Peer.Message call, String failure) throws Exception {
+    private static void failCall(StubServer.Message call, String failure) throws Exception {
         switch (failure) {
             case "reset" -> call.reset();
             case "end" -> call.socket().close();
@@ -71,13 +71,13 @@
         }
     }
 
-    private static String listWithFirstDraining(Bench bench, int index) {
-        return Bench.list(index, true, bench.entry(0, "terminating"), bench.entry(1, "in_service"));
+    private static String listWithFirstDraining(TestBench bench, int index) {
+        return TestBench.listJson(index, true, bench.entry(0, "terminating"), bench.entry(1, "in_service"));
     }
 
-    private static void assertServedBy(Bench bench, int backend) throws Exception {
+    private static void assertServedBy(TestBench bench, int backend) throws Exception {
         for (int i = 0; i < 5; i++) {
-            assertEquals(backend, bench.served());
+            assertEquals(backend, bench.serveOneRequest());
         }
     }
 
@@ -89,12 +89,12 @@
     @CsvSource({"pushed,503", "pushed,reset", "on_request,503", "on_request,end"})
     void appliesADrainInTimeThoughTheFirstCallAfterAnOutageHangs(String mode, String failure)
             throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
             bench.drainGraceUs = 5_000_000;
             bench.askEveryUs = 40_000_000;
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(1));
+            bench.discovery.next().reply(200, bench.fullList(1));
             int[] index = {1};
             assertBestTryWithin(DELIVERY_LIMIT_MS, () -> {
                 for (int i = 0; i < 5; i++) {
@@ -103,10 +103,10 @@
                 long recoveredNs = System.nanoTime();
                 bench.discovery.next();
                 bench.discovery.next().reply(200, listWithFirstDraining(bench, ++index[0]));
-                Peer.Message watch = awaitCallAfterList(bench, index[0]);
+                StubServer.Message watch = awaitCallAfterList(bench, index[0]);
                 long tookMs = elapsedMs(recoveredNs);
                 assertServedBy(bench, 1);
-                watch.reply(200, bench.all(++index[0]));
+                watch.reply(200, bench.fullList(++index[0]));
                 return tookMs;
             });
         }
@@ -118,11 +118,11 @@
      */
     @Test
     void watchesFromTheConfiguredListInOnRequestMode() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = "on_request";
-            bench.start(folder, bench.all(7));
-            Peer.Message watch = awaitCallAfterList(bench, 7);
-            watch.reply(200, Bench.list(8, false, bench.entry(0, "terminating")));
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = "on_request";
+            bench.start(folder, bench.fullList(7));
+            StubServer.Message watch = awaitCallAfterList(bench, 7);
+            watch.reply(200, TestBench.listJson(8, false, bench.entry(0, "terminating")));
             awaitCallAfterList(bench, 8);
             assertServedBy(bench, 1);
         }
@@ -131,11 +131,11 @@
     /** Discovery may no longer know the index of the list in the configuration, and then answers 404. */
     @Test
     void requestsTheFullListIfTheConfiguredIndexIsRejected() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = "on_request";
-            bench.start(folder, bench.all(7));
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = "on_request";
+            bench.start(folder, bench.fullList(7));
             awaitCallAfterList(bench, 7).reply(404, "");
-            Peer.Message fullListCall = bench.discovery.next();
+            StubServer.Message fullListCall = bench.discovery.next();
             assertEquals("GET /registry/instances HTTP/1.1", fullListCall.line());
             fullListCall.reply(200, listWithFirstDraining(bench, 2));
             awaitCallAfterList(bench, 2);
@@ -150,11 +150,11 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void waitsForAListFromASlowDiscovery(String mode) throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
             bench.start(folder);
-            bench.discovery.next().awaitEnd();
-            Peer.Message call = bench.discovery.next();
+            bench.discovery.next().awaitConnectionEnd();
+            StubServer.Message call = bench.discovery.next();
             // The first call timed out after 2 s; the second must still be open after 2.6 s.
             Thread.sleep(2_600);
             call.reply(200, listWithFirstDraining(bench, 2));
@@ -170,25 +170,25 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void appliesInTimeADrainMissedByAHangingWatchThoughItsReopeningFails(String mode) throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(1));
+            bench.discovery.next().reply(200, bench.fullList(1));
             int[] index = {1};
             assertBestTryWithin(DELIVERY_LIMIT_MS, () -> {
                 for (int i = 0; i < 4; i++) {
-                    Peer.Message watch = awaitCallAfterList(bench, index[0]);
-                    watch.reply(200, Bench.list(++index[0], false));
+                    StubServer.Message watch = awaitCallAfterList(bench, index[0]);
+                    watch.reply(200, TestBench.listJson(++index[0], false));
                 }
-                Peer.Message hangingWatch = awaitCallAfterList(bench, index[0]);
+                StubServer.Message hangingWatch = awaitCallAfterList(bench, index[0]);
                 long hangStartNs = System.nanoTime();
-                hangingWatch.awaitEnd();
+                hangingWatch.awaitConnectionEnd();
                 bench.discovery.next().reply(503, "");
                 bench.discovery.next().reply(200, listWithFirstDraining(bench, ++index[0]));
-                Peer.Message nextWatch = awaitCallAfterList(bench, index[0]);
+                StubServer.Message nextWatch = awaitCallAfterList(bench, index[0]);
                 long tookMs = elapsedMs(hangStartNs);
                 assertServedBy(bench, 1);
-                nextWatch.reply(200, bench.all(++index[0]));
+                nextWatch.reply(200, bench.fullList(++index[0]));
                 return tookMs;
             });
         }
@@ -203,18 +203,18 @@
         "on_request,empty"})
     void sendsNothingToABackendMissingFromTheFullListAfterAWatchEnded(String mode, String failure)
             throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
-            bench.probes = true;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
+            bench.probesEnabled = true;
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(1));
-            Peer.Message watch = awaitCallAfterList(bench, 1);
-            Bench.Client client = bench.client().look("in flight");
+            bench.discovery.next().reply(200, bench.fullList(1));
+            StubServer.Message watch = awaitCallAfterList(bench, 1);
+            TestBench.Client client = bench.client().sendLook("in flight");
             int removedIndex = -1;
-            Peer.Message inFlight = null;
+            StubServer.Message inFlight = null;
             while (inFlight == null) {
-                removedIndex = bench.awaitBackend();
-                Peer.Message request = bench.backends.get(removedIndex).next();
+                removedIndex = bench.awaitBackendWithRequest();
+                StubServer.Message request = bench.backends.get(removedIndex).next();
                 if (request.line().startsWith("GET /stats")) {
                     request.reply(200, "inflight=0");
                 } else {
@@ -223,11 +223,11 @@
             }
             failCall(watch, failure);
             bench.discovery.next()
-                    .reply(200, Bench.list(2, true, bench.entry(1 - removedIndex, "in_service")));
+                    .reply(200, TestBench.listJson(2, true, bench.entry(1 - removedIndex, "in_service")));
             awaitCallAfterList(bench, 2);
-            bench.settle();
-            Peer removedBackend = bench.backends.get(removedIndex);
-            while (removedBackend.waiting() > 0) {
+            bench.awaitInputProcessed();
+            StubServer removedBackend = bench.backends.get(removedIndex);
+            while (removedBackend.pendingMessages() > 0) {
                 assertTrue(removedBackend.next().line().startsWith("GET /stats"),
                         "only probes from before the new list may be pending");
             }
@@ -235,7 +235,7 @@
             for (int i = 0; i < 10; i++) {
                 serveByBackend(bench, 1 - removedIndex, "r" + i);
             }
-            assertEquals(0, removedBackend.waiting(),
+            assertEquals(0, removedBackend.pendingMessages(),
                     "the removed backend must receive neither requests nor probes");
             assertEquals(connections, removedBackend.connections());
             inFlight.reply(200, "finished");
@@ -243,9 +243,9 @@
         }
     }
 
-    private static void serveByBackend(Bench bench, int backend, String id) throws Exception {
-        Bench.Client client = bench.client().look(id);
-        Peer.Message request = bench.backends.get(backend).next();
+    private static void serveByBackend(TestBench bench, int backend, String id) throws Exception {
+        TestBench.Client client = bench.client().sendLook(id);
+        StubServer.Message request = bench.backends.get(backend).next();
         while (request.line().startsWith("GET /stats")) {
             request.reply(200, "inflight=0");
             request = bench.backends.get(backend).next();
@@ -261,18 +261,20 @@
     @ParameterizedTest
     @ValueSource(strings = {"not listed", "terminated"})
     void movesAConnectingAttemptAwayFromARemovedBackend(String removal) throws Exception {
-        try (Bench bench = new Bench(1); Hanging hangingBackend = new Hanging()) {
+        try (TestBench bench = new TestBench(1); FullBacklogServer hangingBackend = new FullBacklogServer()) {
             bench.connectTimeoutUs = 25_000_000;
             bench.drainGraceUs = 60_000_000;
-            String initialList = Bench.list(1, true,
-                    Bench.entry("b", hangingBackend.address(), "in_service"));
+            String initialList = TestBench.listJson(1, true,
+                    TestBench.entry("b", hangingBackend.address(), "in_service"));
             bench.start(folder, initialList);
             bench.discovery.next().reply(200, initialList);
-            Peer.Message watch = awaitCallAfterList(bench, 1);
-            Bench.Client client = bench.client().look("r");
-            bench.settle();
-            watch.reply(200, removal.equals("not listed") ? Bench.list(2, true, bench.entry(0, "in_service"))
-                    : Bench.list(2, false, Bench.entry("b", hangingBackend.address(), "terminated"),
+            StubServer.Message watch = awaitCallAfterList(bench, 1);
+            TestBench.Client client = bench.client().sendLook("r");
+            bench.awaitInputProcessed();
+            watch.reply(200, removal.equals("not listed")
+                    ? TestBench.listJson(2, true, bench.entry(0, "in_service"))
+                    : TestBench.listJson(2, false,
+                            TestBench.entry("b", hangingBackend.address(), "terminated"),
                             bench.entry(0, "in_service")));
             bench.backends.get(0).next().reply(200, "elsewhere");
             assertEquals("elsewhere", client.answer().text());
@@ -283,13 +285,13 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void appliesADrainSoonAfterItsWatchWasReset(String mode) throws Exception {
-        try (Bench bench = new Bench(2)) {
-            bench.mode = mode;
+        try (TestBench bench = new TestBench(2)) {
+            bench.discoveryMode = mode;
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(1));
+            bench.discovery.next().reply(200, bench.fullList(1));
             awaitCallAfterList(bench, 1).reset();
-            Peer.Message reopenedWatch = awaitCallAfterList(bench, 1);
-            reopenedWatch.reply(200, Bench.list(2, false, bench.entry(0, "terminating")));
+            StubServer.Message reopenedWatch = awaitCallAfterList(bench, 1);
+            reopenedWatch.reply(200, TestBench.listJson(2, false, bench.entry(0, "terminating")));
             awaitCallAfterList(bench, 2);
             assertServedBy(bench, 1);
         }
@@ -302,33 +304,33 @@
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
     void appliesADrainRightAfterAReload(String mode) throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
-            bench.mode = mode;
-            bench.at(port);
-            String config = bench.config(port, bench.all(1));
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(2); StubServer otherDiscovery = new StubServer()) {
+            bench.discoveryMode = mode;
+            bench.useProxyAt(port);
+            String config = bench.configJson(port, bench.fullList(1));
             Path file = Files.writeString(folder.resolve("config.json"), config);
             try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
-                bench.discovery.next().reply(200, bench.all(1));
+                bench.discovery.next().reply(200, bench.fullList(1));
                 awaitCallAfterList(bench, 1);
                 int[] reloads = {1};
                 int[] listIndex = {1};
                 String[] addresses = {bench.discovery.address(), otherDiscovery.address()};
                 assertBestTryWithin(4_000, () -> {
                     String newAddress = addresses[reloads[0] % 2];
-                    Peer newDiscovery = newAddress.equals(otherDiscovery.address()) ? otherDiscovery
+                    StubServer newDiscovery = newAddress.equals(otherDiscovery.address()) ? otherDiscovery
                             : bench.discovery;
                     Files.writeString(file, config.replace(bench.discovery.address(), newAddress));
                     proxy.signal("HUP");
-                    Peer.Message unansweredCall = newDiscovery.next();
+                    StubServer.Message unansweredCall = newDiscovery.next();
                     long reloadNs = System.nanoTime();
                     assertWatchesFrom(listIndex[0], unansweredCall);
-                    Peer.Message repeatedCall = newDiscovery.next();
+                    StubServer.Message repeatedCall = newDiscovery.next();
                     assertWatchesFrom(listIndex[0], repeatedCall);
-                    repeatedCall.reply(200, bench.all(listIndex[0] + 1));
+                    repeatedCall.reply(200, bench.fullList(listIndex[0] + 1));
                     listIndex[0] += 2;
                     newDiscovery.next().reply(200,
-                            Bench.list(listIndex[0], false, bench.entry(0, "terminating")));
+                            TestBench.listJson(listIndex[0], false, bench.entry(0, "terminating")));
                     newDiscovery.next();
                     long tookMs = elapsedMs(reloadNs);
                     Program.await(20, proxy.lines::toString, () -> isReady(bench));
@@ -340,7 +342,7 @@
         }
     }
 
-    private static void assertWatchesFrom(int index, Peer.Message call) {
+    private static void assertWatchesFrom(int index, StubServer.Message call) {
         assertTrue(call.line().contains("?index=" + index + "&"), call.line());
     }
 
@@ -352,25 +354,25 @@
     @CsvSource({"pushed,lower", "pushed,404", "on_request,lower", "on_request,404"})
     void requestsTheFullListIfTheNewDiscoveryDoesNotKnowTheIndex(String mode, String response)
             throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
-            bench.mode = mode;
-            bench.at(port);
-            String config = bench.config(port, bench.all(7));
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(2); StubServer otherDiscovery = new StubServer()) {
+            bench.discoveryMode = mode;
+            bench.useProxyAt(port);
+            String config = bench.configJson(port, bench.fullList(7));
             Path file = Files.writeString(folder.resolve("config.json"), config);
             try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
-                bench.discovery.next().reply(200, Bench.list(7, false));
+                bench.discovery.next().reply(200, TestBench.listJson(7, false));
                 awaitCallAfterList(bench, 7);
                 Files.writeString(file, config.replace(bench.discovery.address(), otherDiscovery.address()));
                 proxy.signal("HUP");
-                Peer.Message firstCall = otherDiscovery.next();
+                StubServer.Message firstCall = otherDiscovery.next();
                 assertWatchesFrom(7, firstCall);
                 if (response.equals("lower")) {
-                    firstCall.reply(200, Bench.list(3, false));
+                    firstCall.reply(200, TestBench.listJson(3, false));
                 } else {
                     firstCall.reply(Integer.parseInt(response), "");
                 }
-                Peer.Message fullListCall = otherDiscovery.next();
+                StubServer.Message fullListCall = otherDiscovery.next();
                 assertEquals("GET /registry/instances HTTP/1.1", fullListCall.line());
                 fullListCall.reply(200, listWithFirstDraining(bench, 3));
                 assertWatchesFrom(3, otherDiscovery.next());
@@ -380,7 +382,7 @@
         }
     }
 
-    private static boolean isReady(Bench bench) {
+    private static boolean isReady(TestBench bench) {
         try {
             return bench.client().send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
         } catch (java.io.IOException e) {
@@ -391,30 +393,31 @@
     /** The lists span many lines and arrive in parts whose boundaries may lie within a JSON token. */
     @Test
     void readsAnIndentedList() throws Exception {
-        try (Bench bench = new Bench(2)) {
+        try (TestBench bench = new TestBench(2)) {
             bench.start(folder);
             sendIndented(bench.discovery.next(), listWithFirstDraining(bench, 2));
-            sendIndented(awaitCallAfterList(bench, 2), Bench.list(3, false, bench.entry(1, "terminating"),
+            sendIndented(awaitCallAfterList(bench, 2),
+                    TestBench.listJson(3, false, bench.entry(1, "terminating"),
                     bench.entry(0, "in_service")));
             awaitCallAfterList(bench, 3);
             assertServedBy(bench, 0);
         }
     }
 
-    private static void sendIndented(Peer.Message call, String list) throws Exception {
+    private static void sendIndented(StubServer.Message call, String list) throws Exception {
         String text = list.replace("{", "{\r\n\t  ").replace("[", "[\n").replace(",", " ,\n    ")
                 .replace("\":", "\" :\t").replace("}", "\n  }").replace("]", "\n]\n");
-        call.raw("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n");
+        call.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + text.length() + "\r\n\r\n");
         int parts = 20;
         for (int i = 0; i < parts; i++) {
-            call.raw(text.substring(text.length() * i / parts, text.length() * (i + 1) / parts));
+            call.sendRaw(text.substring(text.length() * i / parts, text.length() * (i + 1) / parts));
         }
     }
 
     /** Sends many backends as a full list, and then as changes that drain nearly all of them. */
     @Test
     void appliesAListOfManyBackends() throws Exception {
-        try (Bench bench = new Bench(2)) {
+        try (TestBench bench = new TestBench(2)) {
             bench.start(folder);
             sendIndented(bench.discovery.next(), largeList(bench, 2, true, "in_service"));
             sendIndented(awaitCallAfterList(bench, 2), largeList(bench, 3, false, "terminating"));
@@ -424,12 +427,12 @@
     }
 
     /** A list of the first backend under many names with the given status, and of the second in service. */
-    private static String largeList(Bench bench, int index, boolean isFull, String status) {
+    private static String largeList(TestBench bench, int index, boolean isFull, String status) {
         String[] entries = new String[LARGE_LIST_SIZE + 1];
         for (int i = 0; i < LARGE_LIST_SIZE; i++) {
-            entries[i] = Bench.entry("many-" + i, bench.backends.get(0).address(), status);
+            entries[i] = TestBench.entry("many-" + i, bench.backends.get(0).address(), status);
         }
         entries[LARGE_LIST_SIZE] = bench.entry(1, "in_service");
-        return Bench.list(index, isFull, entries);
+        return TestBench.listJson(index, isFull, entries);
     }
 }
--- a/src/test/java/larkworks/proxy/FailOverTest.java
+++ b/src/test/java/larkworks/proxy/FailOverTest.java
@@ -19,36 +19,36 @@
     @TempDir
     Path folder;
 
-    private static void assertWatches(long index, Peer.Message call) {
+    private static void assertWatches(long index, StubServer.Message call) {
         assertTrue(call.line().startsWith("GET /registry/instances?index=" + index + "&wait="), call.line());
     }
 
     @Test
     void aWatchContinuesAtAnotherReplicaFromTheLastIndex() throws Exception {
-        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(secondReplica);
+        try (StubServer secondReplica = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(secondReplica);
             bench.start(folder);
-            Peer.Message call = bench.discovery.next();
+            StubServer.Message call = bench.discovery.next();
             assertWatches(1, call);
-            call.reply(200, bench.all(7), EPOCH_HEADER);
+            call.reply(200, bench.fullList(7), EPOCH_HEADER);
             call = bench.discovery.next();
             assertWatches(7, call);
             call.reset();
             call = secondReplica.next();
             assertWatches(7, call);
-            call.reply(200, Bench.list(9, false, bench.entry(0, "terminating")), EPOCH_HEADER);
+            call.reply(200, TestBench.listJson(9, false, bench.entry(0, "terminating")), EPOCH_HEADER);
             assertWatches(9, secondReplica.next());
         }
     }
 
     @Test
     void theFullListIsRequestedOnceAllReplicasRejectTheIndex() throws Exception {
-        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(secondReplica);
+        try (StubServer secondReplica = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(secondReplica);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH_HEADER);
+            bench.discovery.next().reply(200, bench.fullList(7), EPOCH_HEADER);
             bench.discovery.next().reply(503, "{}");
-            Peer.Message call = secondReplica.next();
+            StubServer.Message call = secondReplica.next();
             assertWatches(7, call);
             call.reset();  // a reset does not say whether the index is known
             call = bench.discovery.next();
@@ -60,10 +60,10 @@
 
     @Test
     void theFullListIsRequestedFromServicesWithoutAnEpoch() throws Exception {
-        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(secondReplica);
+        try (StubServer secondReplica = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(secondReplica);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7));
+            bench.discovery.next().reply(200, bench.fullList(7));
             bench.discovery.next().reset();
             assertEquals(FULL_LIST_REQUEST, secondReplica.next().line());
         }
@@ -71,26 +71,26 @@
 
     @Test
     void aStaleReplicaIsAbandonedForAnother() throws Exception {
-        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(secondReplica);
+        try (StubServer secondReplica = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(secondReplica);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH_HEADER, "X-Registry-Stale: true");
-            Peer.Message call = secondReplica.next();
+            bench.discovery.next().reply(200, bench.fullList(7), EPOCH_HEADER, "X-Registry-Stale: true");
+            StubServer.Message call = secondReplica.next();
             assertWatches(7, call);
-            assertEquals(0, bench.discovery.waiting(), "the stale replica must not receive a watch");
-            call.reply(200, Bench.list(8, false, bench.entry(0, "terminating")), EPOCH_HEADER);
+            assertEquals(0, bench.discovery.pendingMessages(), "the stale replica must not receive a watch");
+            call.reply(200, TestBench.listJson(8, false, bench.entry(0, "terminating")), EPOCH_HEADER);
             assertWatches(8, secondReplica.next());
         }
     }
 
     @Test
     void changesOfAnotherEpochAreIgnored() throws Exception {
-        try (Peer secondReplica = new Peer(); Bench bench = new Bench(1)) {
-            bench.others = List.of(secondReplica);
+        try (StubServer secondReplica = new StubServer(); TestBench bench = new TestBench(1)) {
+            bench.otherDiscoveries = List.of(secondReplica);
             bench.start(folder);
-            bench.discovery.next().reply(200, bench.all(7), EPOCH_HEADER);
+            bench.discovery.next().reply(200, bench.fullList(7), EPOCH_HEADER);
             bench.discovery.next().reset();
-            secondReplica.next().reply(200, Bench.list(9, false), "X-Registry-Epoch: two");
+            secondReplica.next().reply(200, TestBench.listJson(9, false), "X-Registry-Epoch: two");
             assertEquals(FULL_LIST_REQUEST, bench.discovery.next().line());
         }
     }
--- a/src/test/java/larkworks/proxy/Hanging.java
+++ b/src/test/java/larkworks/proxy/FullBacklogServer.java
@@ -8,17 +8,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A backend to which connections come up only once the test lets them: its queue is full until then. */
-final class Hanging implements AutoCloseable {
+/** A backend whose accept queue is full, so that connecting to it blocks until the test calls accept. */
+final class FullBacklogServer implements AutoCloseable {
 
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-    private final List<Socket> fillers = new ArrayList<>();
+    private final List<Socket> queueFillers = new ArrayList<>();
 
-    /** With its queue full the system drops new connections, and who connects tries again after a second. */
-    Hanging() throws IOException {
-        listener.setSoTimeout((int) Peer.LIMIT_S * 1000);
+    /** Fills the accept queue: the kernel then drops new SYNs, and the peer repeats them after 1 s. */
+    FullBacklogServer() throws IOException {
+        listener.setSoTimeout((int) StubServer.TIMEOUT_S * 1000);
         for (int i = 0; i < 2; i++) {
-            fillers.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
+            queueFillers.add(new Socket(listener.getInetAddress(), listener.getLocalPort()));
         }
     }
 
@@ -26,17 +26,17 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Lets connections come up; returns the first that was kept waiting. */
+    /** Empties the accept queue and returns the first connection that was blocked by it. */
     Socket accept() throws IOException {
-        while (!fillers.isEmpty()) {
+        while (!queueFillers.isEmpty()) {
             listener.accept().close();
-            fillers.remove(0).close();
+            queueFillers.remove(0).close();
         }
         return listener.accept();
     }
 
-    /** Whether nothing has come on the connection so far. */
-    static boolean silent(Socket socket) throws IOException {
+    /** Returns whether no byte has been received on the connection. */
+    static boolean hasReceivedNothing(Socket socket) throws IOException {
         socket.setSoTimeout(1);
         try {
             return socket.getInputStream().read() < 0;
@@ -47,7 +47,7 @@
 
     @Override
     public void close() throws IOException {
-        for (Socket socket : fillers) {
+        for (Socket socket : queueFillers) {
             socket.close();
         }
         listener.close();
--- a/src/test/java/larkworks/proxy/HealthProbesTest.java
+++ b/src/test/java/larkworks/proxy/HealthProbesTest.java
@@ -28,12 +28,12 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<ProbeResult> results = new LinkedBlockingQueue<>();
-    private Peer backend;
+    private StubServer backend;
     private HealthProbes probes;
 
     @BeforeEach
     void open() throws Exception {
-        backend = new Peer();
+        backend = new StubServer();
         Sockets sockets = new Sockets(64, 0);
         BackendPool pool = new BackendPool(loop, sockets, 5_000_000, 10_000_000);
         sockets.setEvictors(pool::evictLongestIdle);
@@ -52,7 +52,7 @@
     }
 
     private ProbeResult nextResult() throws InterruptedException {
-        return results.poll(Peer.LIMIT_S, TimeUnit.SECONDS);
+        return results.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     @Test
--- a/src/test/java/larkworks/proxy/LargeFleetTest.java
+++ b/src/test/java/larkworks/proxy/LargeFleetTest.java
@@ -26,29 +26,30 @@
     @TempDir
     Path folder;
 
-    private static String addressOf(Bench bench, int server) {
+    private static String addressOf(TestBench bench, int server) {
         return bench.backends.get(server % LISTENER_COUNT).address();
     }
 
     /** Sends requests one by one and asserts that this listener serves them all; -1 stands for any. */
-    private static void assertServedBy(Bench bench, int listener) throws Exception {
+    private static void assertServedBy(TestBench bench, int listener) throws Exception {
         for (int i = 0; i < REQUESTS_PER_CHECK; i++) {
-            int servedBy = bench.served();
+            int servedBy = bench.serveOneRequest();
             assertTrue(listener < 0 || servedBy == listener, "served by " + servedBy);
         }
     }
 
     @Test
     void appliesChangesAndDrainsWithOver1000ServersAndPeers() throws Exception {
-        try (Bench bench = new Bench(LISTENER_COUNT)) {
-            int adminPort = Bench.freePort();
+        try (TestBench bench = new TestBench(LISTENER_COUNT)) {
+            int adminPort = TestBench.freePort();
             bench.copies = FLEET_SIZE;
-            bench.more = LargeFleet.membership(FLEET_SIZE, 0, Bench.HOST + ":" + Bench.freePort());
-            bench.environment = Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR",
+            bench.extraConfig = LargeFleet.membership(FLEET_SIZE, 0, TestBench.HOST + ":"
+                    + TestBench.freePort());
+            bench.environment = Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + adminPort, "TMPDIR",
                     folder.toString());
-            CompletableFuture<Peer.Message> watchCall = CompletableFuture.supplyAsync(() -> {
+            CompletableFuture<StubServer.Message> watchCall = CompletableFuture.supplyAsync(() -> {
                 try {
-                    Peer.Message firstCall = bench.discovery.next();
+                    StubServer.Message firstCall = bench.discovery.next();
                     firstCall.reply(200, LargeFleet.list(2, true, FLEET_SIZE, i -> addressOf(bench, i),
                             i -> "in_service"));
                     return bench.discovery.next();
@@ -58,7 +59,7 @@
             });
             bench.start(folder,
                     LargeFleet.list(1, true, FLEET_SIZE, i -> addressOf(bench, i), i -> "in_service"));
-            Peer.Message watch = watchCall.get(Peer.LIMIT_S, TimeUnit.SECONDS);
+            StubServer.Message watch = watchCall.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
             assertTrue(watch.line().contains("?index=2&"), watch.line());
             assertEquals(FLEET_SIZE, memberCount(adminPort), "each peer must be among the members");
             assertServedBy(bench, -1);
@@ -77,17 +78,17 @@
             assertTrue(watch.line().contains("?index=4&"), watch.line());
             assertServedBy(bench, 7);
 
-            Bench.Client client = bench.client().look("in flight");
-            Peer.Message backendRequest = bench.backends.get(7).next();
-            CompletableFuture<Void> ended = bench.end();
+            TestBench.Client client = bench.client().sendLook("in flight");
+            StubServer.Message backendRequest = bench.backends.get(7).next();
+            CompletableFuture<Void> ended = bench.beginShutdown();
             backendRequest.reply(200, "finished");
             assertEquals("finished", client.answer().text());
-            ended.get(Peer.LIMIT_S, TimeUnit.SECONDS);
+            ended.get(StubServer.TIMEOUT_S, TimeUnit.SECONDS);
         }
     }
 
     private static int memberCount(int adminPort) throws Exception {
-        try (var in = URI.create("http://" + Bench.HOST + ":" + adminPort + "/ops/members").toURL()
+        try (var in = URI.create("http://" + TestBench.HOST + ":" + adminPort + "/ops/members").toURL()
                 .openStream()) {
             return ((List<?>) Json.object(in.readAllBytes()).get("members")).size();
         }
--- a/src/test/java/larkworks/proxy/MemoryExperiment.java
+++ b/src/test/java/larkworks/proxy/MemoryExperiment.java
@@ -49,20 +49,20 @@
         backend.start();
         String address = "127.0.0.1:" + backend.getAddress().getPort();
         Path folder = Files.createTempDirectory("memory");
-        try (Bench bench = new Bench(0)) {
-            int port = Bench.freePort();
+        try (TestBench bench = new TestBench(0)) {
+            int port = TestBench.freePort();
             bench.copies = Math.max(3, serverCount);
-            bench.more = isMember
-                    ? LargeFleet.membership(serverCount, 0, Bench.HOST + ":" + Bench.freePort()) : "";
-            Path config = Files.writeString(folder.resolve("config.json"), bench.config(port,
+            bench.extraConfig = isMember
+                    ? LargeFleet.membership(serverCount, 0, TestBench.HOST + ":" + TestBench.freePort()) : "";
+            Path config = Files.writeString(folder.resolve("config.json"), bench.configJson(port,
                     LargeFleet.list(1, true, serverCount, i -> address, i -> "in_service")));
             try (ProxyProcess proxyProcess = new ProxyProcess("", config, folder, Map.of())) {
-                bench.at(port);
-                Peer.Message discoveryCall = bench.discovery.next();
+                bench.useProxyAt(port);
+                StubServer.Message discoveryCall = bench.discovery.next();
                 discoveryCall.reply(200,
                         LargeFleet.list(2, true, serverCount, i -> address, i -> "in_service"));
                 discoveryCall = bench.discovery.next();
-                Bench.Client client = awaitConnection(port);
+                TestBench.Client client = awaitConnection(port);
                 Program.await(30, () -> "the proxy is not ready", () -> requestStatus(client,
                         "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n") == 200);
                 printMemory(serverCount, isMember, "idle", proxyProcess);
@@ -84,21 +84,21 @@
         backend.stop(0);
     }
 
-    private static Bench.Client awaitConnection(int port) throws Exception {
+    private static TestBench.Client awaitConnection(int port) throws Exception {
         Socket[] socket = new Socket[1];
         Program.await(30, () -> "the proxy does not listen", () -> {
             try {
-                socket[0] = new Socket(InetAddress.getByName(Bench.HOST), port);
+                socket[0] = new Socket(InetAddress.getByName(TestBench.HOST), port);
                 socket[0].setSoTimeout(30_000);
                 return true;
             } catch (java.io.IOException e) {
                 return false;
             }
         });
-        return new Bench.Client(socket[0], socket[0].getInputStream());
+        return new TestBench.Client(socket[0], socket[0].getInputStream());
     }
 
-    private static int requestStatus(Bench.Client client, String request) {
+    private static int requestStatus(TestBench.Client client, String request) {
         try {
             return client.send(request).status();
         } catch (java.io.IOException e) {
--- a/src/test/java/larkworks/proxy/MetricsTest.java
+++ b/src/test/java/larkworks/proxy/MetricsTest.java
@@ -27,24 +27,24 @@
     Path folder;
 
     private Map<String, String> environment(int adminPort) {
-        return Map.of("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort, "TMPDIR", folder.toString());
+        return Map.of("GW_ADMIN_ADDR", TestBench.HOST + ":" + adminPort, "TMPDIR", folder.toString());
     }
 
     @Test
     void reportsRequestsAttemptsAndListsInPrometheusText() throws Exception {
-        int adminPort = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
-            bench.more = "\"metrics\":{\"enabled\":true},";
+        int adminPort = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
+            bench.extraConfig = "\"metrics\":{\"enabled\":true},";
             bench.environment = environment(adminPort);
-            bench.list(bench.all(7));
-            bench.start(folder, bench.all(7));
+            bench.answerDiscoveryWith(bench.fullList(7));
+            bench.start(folder, bench.fullList(7));
             for (int i = 0; i < 3; i++) {
-                Bench.Client client = bench.client().look("r" + i);
+                TestBench.Client client = bench.client().sendLook("r" + i);
                 bench.backends.get(0).next().reply(i == 2 ? 500 : 200, "");
                 client.status();
             }
             String text;
-            URI metricsUri = URI.create("http://" + Bench.HOST + ":" + adminPort + "/metrics");
+            URI metricsUri = URI.create("http://" + TestBench.HOST + ":" + adminPort + "/metrics");
             try (var in = metricsUri.toURL().openStream()) {
                 text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
             }
@@ -86,12 +86,12 @@
 
     @Test
     void isAbsentUnlessEnabled() throws Exception {
-        int adminPort = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
+        int adminPort = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
             bench.environment = environment(adminPort);
-            bench.list(bench.all(7));
-            bench.start(folder, bench.all(7));
-            assertEquals(404, Bench.call(adminPort, "GET", "/metrics", ""));
+            bench.answerDiscoveryWith(bench.fullList(7));
+            bench.start(folder, bench.fullList(7));
+            assertEquals(404, TestBench.callAdmin(adminPort, "GET", "/metrics", ""));
         }
     }
 }
--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -24,7 +24,7 @@
     @TempDir
     Path folder;
 
-    private Bench bench;
+    private TestBench bench;
     private Program registry;
     private Program proxy;
     private TcpRelay relay;
@@ -32,7 +32,7 @@
 
     @BeforeEach
     void setUp() throws Exception {
-        bench = new Bench(2);
+        bench = new TestBench(2);
         startRegistry("data");
         relay = new TcpRelay(registryAddress());
         register(0);
@@ -41,14 +41,16 @@
     /** Starts the proxy while the registry is unreachable; it serves by the known list, then the new one. */
     private void startProxy(String discoveryJson) throws Exception {
         // The list in the configuration contains the second backend only.
-        String knownList = Bench.list(9, true, bench.entry(1, "in_service"));
-        bench.at(Bench.freePort());
-        Path config = Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), knownList)
+        String knownList = TestBench.listJson(9, true, bench.entry(1, "in_service"));
+        bench.useProxyAt(TestBench.freePort());
+        Path config = Files.writeString(folder.resolve("config.json"),
+                bench.configJson(bench.port(), knownList)
                 .replace('"' + bench.discovery.address() + '"', discoveryJson));
         relay.setRefusing(true);
         proxy = new Program("", Map.of("GW_CONFIG", config.toString()), "proxy");
         Program.await(20, proxy.lines::toString, () -> relay.refusedConnections.get() > 2);
-        assertEquals(1, bench.served(), "must be served by the known list while the registry is unreachable");
+        assertEquals(1, bench.serveOneRequest(),
+                "must be served by the known list while the registry is unreachable");
         relay.setRefusing(false);
         awaitServedBy(0);
     }
@@ -80,7 +82,7 @@
         int[] servedInARow = {0};
         Program.await(15, proxy.lines::toString, () -> {
             try {
-                servedInARow[0] = bench.served() == backend ? servedInARow[0] + 1 : 0;
+                servedInARow[0] = bench.serveOneRequest() == backend ? servedInARow[0] + 1 : 0;
                 return servedInARow[0] == 5;
             } catch (Exception e) {
                 throw new IllegalStateException(e);
@@ -96,12 +98,12 @@
         int refusedBefore = relay.refusedConnections.get();
         // The outage lasts for several attempts, until well after the pause between them is at its maximum.
         Program.await(30, proxy.lines::toString, () -> relay.refusedConnections.get() >= refusedBefore + 7);
-        assertEquals(0, bench.served());
+        assertEquals(0, bench.serveOneRequest());
         startRegistry("data");
         relay.setTarget(registryAddress());
         registryClient.status("b0", "terminating");
         register(1);
-        assertEquals(0, bench.served(), "the proxy has not received the new list yet");
+        assertEquals(0, bench.serveOneRequest(), "the proxy has not received the new list yet");
         relay.setRefusing(false);
         awaitServedBy(1);
     }
@@ -128,7 +130,7 @@
         relay.setRefusing(false);
         awaitServedBy(1);
         for (int i = 0; i < 10; i++) {
-            assertEquals(1, bench.served(), "b0 is in no list of the new registry");
+            assertEquals(1, bench.serveOneRequest(), "b0 is in no list of the new registry");
         }
         assertTrue(proxy.lines.toString().contains("do not apply to the list in force"),
                 proxy.lines::toString);
--- a/src/test/java/larkworks/proxy/PendingRequestsTest.java
+++ b/src/test/java/larkworks/proxy/PendingRequestsTest.java
@@ -24,18 +24,18 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Each request that was taken ends, and once: when its answer has been written and no attempt is out. */
+/** Each accepted request completes exactly once: when its answer is written and none of its attempts runs. */
 @Timeout(120)
 class PendingRequestsTest {
 
-    /** Answers as they are given, and what is to be told once they are written. */
-    private static final class Answers implements Driver.Client {
-        private final List<String> given = new ArrayList<>();
-        private final List<Driver.Delivery> writing = new ArrayList<>();
+    /** Records the answers that the driver gives, and the deliveries to notify once an answer is written. */
+    private static final class RecordingClient implements Driver.Client {
+        private final List<String> answers = new ArrayList<>();
+        private final List<Driver.Delivery> deliveries = new ArrayList<>();
 
-        private void add(String answer, Driver.Delivery delivery) {
-            given.add(answer);
-            writing.add(delivery);
+        private void record(String answer, Driver.Delivery delivery) {
+            answers.add(answer);
+            deliveries.add(delivery);
         }
 
         @Override
@@ -45,23 +45,23 @@
 
         @Override
         public void sendAnswer(byte[] body, String type, Driver.Delivery delivery) {
-            add("served", delivery);
+            record("served", delivery);
         }
 
         @Override
         public BackendPool.AnswerSink startStream(BackendPool.Exchange from, String type, long length,
                 Driver.Delivery delivery) {
-            throw new AssertionError("no answer here is large");
+            throw new AssertionError("an answer was streamed, but these tests send only small ones");
         }
 
         @Override
         public void sendRefusal(long retryAfterUs, Driver.Delivery delivery) {
-            add("refused", delivery);
+            record("refused", delivery);
         }
 
         @Override
         public void sendFailure(Driver.Delivery delivery) {
-            add("failed", delivery);
+            record("failed", delivery);
         }
     }
 
@@ -72,15 +72,15 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Clock clock = new Clock();
-    private final Answers answers = new Answers();
-    private Bench bench;
+    private final RecordingClient client = new RecordingClient();
+    private TestBench bench;
     private Driver driver;
     private Sockets sockets;
 
     @BeforeEach
-    void open() throws Exception {
-        bench = new Bench(1);
-        Path file = Files.writeString(folder.resolve("config.json"), bench.config(0, bench.all(1)));
+    void createDriver() throws Exception {
+        bench = new TestBench(1);
+        Path file = Files.writeString(folder.resolve("config.json"), bench.configJson(0, bench.fullList(1)));
         Config config = Config.read(file.toString(), Map.of(), Map.of());
         sockets = new Sockets(64, 0);
         BackendPool pool = new BackendPool(loop, sockets, config.connectTimeoutUs(), config.keepAliveUs());
@@ -94,11 +94,11 @@
         bench.close();
     }
 
-    private <T> T onLoop(Callable<T> step) throws Exception {
-        return loop.submit(step).get();
+    private <T> T onLoop(Callable<T> task) throws Exception {
+        return loop.submit(task).get();
     }
 
-    /** Makes the one backend known, at an address that is null where no attempt can begin. */
+    /** Adds the only backend to the driver's list; with a null address no attempt to it can begin. */
     private void listBackend(InetSocketAddress address) throws Exception {
         onLoop(() -> {
             driver.listChanged(ListKind.WHOLE, List.of(new Listing.Entry(
@@ -108,52 +108,52 @@
         });
     }
 
-    private PendingRequest take(long timeLeftUs) throws Exception {
+    private PendingRequest accept(long timeLeftUs) throws Exception {
         return onLoop(() -> driver.submit(new Driver.Inbound("r1", HttpMethod.GET, "/look", null,
-                new byte[0], null, null, 0, 0, timeLeftUs, 0, false, clock.nowUs()), answers));
+                new byte[0], null, null, 0, 0, timeLeftUs, 0, false, clock.nowUs()), client));
     }
 
     private void awaitAnswer() throws Exception {
-        long until = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
-        while (onLoop(answers.given::isEmpty)) {
-            assertTrue(System.nanoTime() < until, "no answer was given");
+        long timeoutAtNs = System.nanoTime() + StubServer.TIMEOUT_S * 1_000_000_000L;
+        while (onLoop(client.answers::isEmpty)) {
+            assertTrue(System.nanoTime() < timeoutAtNs, "the driver gave no answer");
             Thread.sleep(1);
         }
     }
 
     @Test
-    void aRequestEndsOnlyOnceItsAnswerIsWritten() throws Exception {
+    void requestCompletesOnlyOnceItsAnswerIsWritten() throws Exception {
         listBackend(Config.address(bench.backends.get(0).address()));
-        take(20_000_000);
+        accept(20_000_000);
         bench.backends.get(0).next().reply(200, "whole");
         awaitAnswer();
-        assertEquals(List.of("served"), onLoop(() -> List.copyOf(answers.given)));
-        assertEquals(false, onLoop(driver::isIdle), "the answer is not written yet");
+        assertEquals(List.of("served"), onLoop(() -> List.copyOf(client.answers)));
+        assertEquals(false, onLoop(driver::isIdle), "the request completed before its answer was written");
         onLoop(() -> {
-            answers.writing.get(0).ended(true);
+            client.deliveries.get(0).ended(true);
             return null;
         });
         assertTrue(onLoop(driver::isIdle));
     }
 
     @Test
-    void aRequestEndsWhereItsAttemptCannotBegin() throws Exception {
+    void requestCompletesIfItsAttemptCannotBegin() throws Exception {
         listBackend(null);
-        take(300_000);
+        accept(300_000);
         awaitAnswer();
         onLoop(() -> {
-            answers.writing.get(0).ended(true);
+            client.deliveries.get(0).ended(true);
             return null;
         });
-        assertEquals(1, onLoop(answers.given::size));
-        assertTrue(onLoop(driver::isIdle), "the attempt that never began holds the request");
+        assertEquals(1, onLoop(client.answers::size));
+        assertTrue(onLoop(driver::isIdle), "the request is still pending for an attempt that never began");
         assertEquals(0, onLoop(sockets::openCount), "a socket that was never opened is counted");
     }
 
     @Test
-    void aRequestWithoutAnAnswerIsOverdueOnceItsDeadlineHasPassed() throws Exception {
+    void unansweredRequestIsPastDeadlineOnceItHasPassed() throws Exception {
         listBackend(Config.address(bench.backends.get(0).address()));
-        PendingRequest pending = take(20_000_000);
+        PendingRequest pending = accept(20_000_000);
         bench.backends.get(0).next();
         assertEquals(false, pending.isPastDeadline(pending.deadlineUs));
         assertTrue(pending.isPastDeadline(pending.deadlineUs + 1));
@@ -162,17 +162,17 @@
             return null;
         });
         assertEquals(false, pending.isPastDeadline(pending.deadlineUs + 1),
-                "a client that has gone waits no more");
+                "a request whose client disconnected counts as past its deadline");
     }
 
     @Test
-    void aRequestIsAnsweredBeforeItIsOverdueWhereItsBackendIsSilent() throws Exception {
+    void requestIsAnsweredBeforeItsDeadlineIfBackendIsSilent() throws Exception {
         listBackend(Config.address(bench.backends.get(0).address()));
-        PendingRequest pending = take(300_000);
+        PendingRequest pending = accept(300_000);
         bench.backends.get(0).next();
         awaitAnswer();
         assertTrue(onLoop(() -> driver.requestsPastDeadline().isEmpty()));
-        assertEquals(List.of("failed"), onLoop(() -> List.copyOf(answers.given)));
+        assertEquals(List.of("failed"), onLoop(() -> List.copyOf(client.answers)));
         assertTrue(onLoop(pending::isAnswered));
     }
 }
--- a/src/test/java/larkworks/proxy/ProcessTest.java
+++ b/src/test/java/larkworks/proxy/ProcessTest.java
@@ -37,29 +37,29 @@
 
     @Test
     void finishesItsRequestsAfterSigterm() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
-            bench.at(port);
-            Process process = startProxy(bench.config(port, bench.all(1)));
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
+            bench.useProxyAt(port);
+            Process process = startProxy(bench.configJson(port, bench.fullList(1)));
             try {
-                Bench.Client readinessClient = connectWhenReady(bench);
-                Bench.Client client = bench.client().look("in flight");
-                Peer.Message backendRequest = bench.backends.get(0).next();
+                TestBench.Client readinessClient = connectWhenReady(bench);
+                TestBench.Client client = bench.client().sendLook("in flight");
+                StubServer.Message backendRequest = bench.backends.get(0).next();
 
                 process.destroy();
                 while (readinessStatus(readinessClient) == 200) {
                     // Wait for the signal to arrive; the first answer after it closes the connection.
                     Thread.onSpinWait();
                 }
-                Bench.Client lateClient = bench.client().look("late");
-                Peer.Message lateBackendRequest = bench.backends.get(0).next();
+                TestBench.Client lateClient = bench.client().sendLook("late");
+                StubServer.Message lateBackendRequest = bench.backends.get(0).next();
                 lateBackendRequest.reply(200, "late too");
-                Peer.Message lateAnswer = lateClient.answer();
+                StubServer.Message lateAnswer = lateClient.answer();
                 assertEquals("late too", lateAnswer.text());
                 assertEquals("close", lateAnswer.header("Connection"));
                 backendRequest.reply(200, "finished");
                 assertEquals("finished", client.answer().text());
-                assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
             }
@@ -67,32 +67,32 @@
     }
 
     /** Starts a process with this deadline for all classes; it sets how soon SIGKILL may follow SIGTERM. */
-    private Process startWithDeadline(Bench bench, int port, long deadlineMs) throws IOException {
-        bench.at(port);
-        return startProxy(bench.config(port, bench.all(1)).replace("2000000,", "500000,")
+    private Process startWithDeadline(TestBench bench, int port, long deadlineMs) throws IOException {
+        bench.useProxyAt(port);
+        return startProxy(bench.configJson(port, bench.fullList(1)).replace("2000000,", "500000,")
                 .replace("30000000,\"worth", deadlineMs + "000,\"worth"));
     }
 
     @Test
     void waitsForTheLastRequestsDeadlineThoughItsBackendHangs() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
             Process process = startWithDeadline(bench, port, 1_000);
             try {
-                Bench.Client readinessClient = connectWhenReady(bench);
-                Bench.Client client = bench.client();
+                TestBench.Client readinessClient = connectWhenReady(bench);
+                TestBench.Client client = bench.client();
                 process.destroy();
                 while (readinessStatus(readinessClient) == 200) {
                     Thread.onSpinWait();
                 }
                 // Its budget ends 1.5 s after the longest deadline. A request that arrives within 0.7 s of
                 // SIGTERM has its deadline before the earliest SIGKILL, but possibly less than 0.5 s before.
-                client.look("hung", 2_500);
+                client.sendLook("hung", 2_500);
                 bench.backends.get(0).next();
-                Peer.Message answer = client.answer();
+                StubServer.Message answer = client.answer();
                 assertNotNull(answer, "the process ended first");
                 assertEquals(502, Integer.parseInt(answer.line().split(" ")[1]));
-                assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
             }
@@ -101,21 +101,21 @@
 
     @Test
     void answersBeforeTheEarliestSigkillARequestCompletedAfterTheListenerClosed() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
             Process process = startWithDeadline(bench, port, 1_000);
             try {
                 connectWhenReady(bench).socket().close();
-                Bench.Client slowClient = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
-                Bench.Client idleClient = bench.client();
+                TestBench.Client slowClient = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
+                TestBench.Client idleClient = bench.client();
                 process.destroy();
                 // A client would send requests on an idle connection left open, until SIGKILL.
                 assertNull(idleClient.answer());
                 slowClient.send("X-Call-Id: late\r\nX-Call-Class: look\r\nX-Budget-Ms: 20000\r\n\r\n");
-                Peer.Message answer = slowClient.answer();
+                StubServer.Message answer = slowClient.answer();
                 assertNotNull(answer, "the process ended first");
                 assertTrue(answer.line().startsWith("HTTP/1.1 50"), answer.line());
-                assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
             }
@@ -124,15 +124,15 @@
 
     @Test
     void finishesItsRequestsWhateverSignalsArriveTogether() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(1)) {
-            bench.at(port);
-            Process process = startProxy(bench.config(port, bench.all(1)));
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(1)) {
+            bench.useProxyAt(port);
+            Process process = startProxy(bench.configJson(port, bench.fullList(1)));
             try {
                 connectWhenReady(bench).socket().close();
-                Bench.Client client = bench.client().look("in flight");
-                Peer.Message backendRequest = bench.backends.get(0).next();
-                Bench.Client slowClient = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
+                TestBench.Client client = bench.client().sendLook("in flight");
+                StubServer.Message backendRequest = bench.backends.get(0).next();
+                TestBench.Client slowClient = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
                 sendSighup(process);
                 process.destroy();
                 process.destroy();
@@ -142,7 +142,7 @@
                 slowClient.send("X-Call-Id: half\r\nX-Call-Class: look\r\n\r\n");
                 bench.backends.get(0).next().reply(200, "whole");
                 assertEquals("whole", slowClient.answer().text());
-                assertTrue(process.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+                assertTrue(process.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
             } finally {
                 process.destroyForcibly();
             }
@@ -151,14 +151,14 @@
 
     @Test
     void switchesDiscoveryAtSighupAndSurvivesABadConfiguration() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
-            bench.at(port);
-            String config = bench.config(port, "null");
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(2); StubServer otherDiscovery = new StubServer()) {
+            bench.useProxyAt(port);
+            String config = bench.configJson(port, "null");
             Process process = startProxy(config);
             try {
-                bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
-                Peer.Message watch = bench.discovery.next();
+                bench.discovery.next().reply(200, TestBench.listJson(7, true, bench.entry(0, "in_service")));
+                StubServer.Message watch = bench.discovery.next();
                 connectWhenReady(bench);
 
                 Files.writeString(folder.resolve("config.json"), "{\"discovery\":\"nowhere\"}");
@@ -167,13 +167,13 @@
                 Files.writeString(folder.resolve("config.json"),
                         config.replace(bench.discovery.address(), otherDiscovery.address()));
                 sendSighup(process);
-                Peer.Message call = otherDiscovery.next();
+                StubServer.Message call = otherDiscovery.next();
                 assertTrue(call.line().startsWith("GET /registry/instances?index=7&"), call.line());
-                watch.awaitEnd();
-                call.reply(200, Bench.list(3, true, bench.entry(1, "in_service")));
+                watch.awaitConnectionEnd();
+                call.reply(200, TestBench.listJson(3, true, bench.entry(1, "in_service")));
                 assertTrue(otherDiscovery.next().line().contains("?index=3&"));
 
-                Bench.Client client = bench.client().look("r");
+                TestBench.Client client = bench.client().sendLook("r");
                 bench.backends.get(1).next().reply(200, "moved");
                 assertEquals("moved", client.answer().text());
                 assertTrue(process.isAlive());
@@ -189,38 +189,38 @@
      */
     @Test
     void switchesBackToTheOldDiscoveryBeforeTheNewOneAnswers() throws Exception {
-        int port = Bench.freePort();
-        try (Bench bench = new Bench(2); Peer otherDiscovery = new Peer()) {
-            bench.at(port);
-            String config = bench.config(port, "null");
+        int port = TestBench.freePort();
+        try (TestBench bench = new TestBench(2); StubServer otherDiscovery = new StubServer()) {
+            bench.useProxyAt(port);
+            String config = bench.configJson(port, "null");
             Process process = startProxy(config);
             try {
-                bench.discovery.next().reply(200, Bench.list(7, true, bench.entry(0, "in_service")));
-                Peer.Message watch = bench.discovery.next();
+                bench.discovery.next().reply(200, TestBench.listJson(7, true, bench.entry(0, "in_service")));
+                StubServer.Message watch = bench.discovery.next();
                 connectWhenReady(bench);
 
                 Files.writeString(folder.resolve("config.json"),
                         config.replace(bench.discovery.address(), otherDiscovery.address()));
                 sendSighup(process);
-                Peer.Message call = otherDiscovery.next();
-                watch.awaitEnd();
+                StubServer.Message call = otherDiscovery.next();
+                watch.awaitConnectionEnd();
                 Files.writeString(folder.resolve("config.json"), config);
                 sendSighup(process);
-                Peer.Message repeatedCall = bench.discovery.next();
+                StubServer.Message repeatedCall = bench.discovery.next();
                 assertTrue(repeatedCall.line().startsWith("GET /registry/instances?index=7&"),
                         repeatedCall.line());
                 // Once this call has ended, the proxy has moved back; an earlier answer would be applied.
-                call.awaitEnd();
+                call.awaitConnectionEnd();
                 try {
-                    call.reply(200, Bench.list(8, true, bench.entry(1, "in_service")));
+                    call.reply(200, TestBench.listJson(8, true, bench.entry(1, "in_service")));
                 } catch (UncheckedIOException e) {
                     // The proxy has closed the connection already.
                 }
-                assertEquals(0, bench.served(), "the current list must stay in force");
-                repeatedCall.reply(200, Bench.list(9, true, bench.entry(0, "in_service")));
+                assertEquals(0, bench.serveOneRequest(), "the current list must stay in force");
+                repeatedCall.reply(200, TestBench.listJson(9, true, bench.entry(0, "in_service")));
                 assertTrue(bench.discovery.next().line().contains("?index=9&"));
-                assertEquals(0, bench.served());
-                assertEquals(0, otherDiscovery.waiting());
+                assertEquals(0, bench.serveOneRequest());
+                assertEquals(0, otherDiscovery.pendingMessages());
             } finally {
                 process.destroyForcibly();
             }
@@ -241,16 +241,16 @@
         assertEquals(1, errorOutput.lines().count(), errorOutput);
     }
 
-    private static int readinessStatus(Bench.Client client) throws IOException {
+    private static int readinessStatus(TestBench.Client client) throws IOException {
         return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
 
     /** Returns a connection to the process as soon as it listens and is ready. */
-    private static Bench.Client connectWhenReady(Bench bench) throws Exception {
-        long deadlineNs = System.nanoTime() + Peer.LIMIT_S * 1_000_000_000L;
+    private static TestBench.Client connectWhenReady(TestBench bench) throws Exception {
+        long deadlineNs = System.nanoTime() + StubServer.TIMEOUT_S * 1_000_000_000L;
         while (true) {
             try {
-                Bench.Client client = bench.client();
+                TestBench.Client client = bench.client();
                 while (readinessStatus(client) != 200) {
                     Thread.onSpinWait();
                 }
--- a/src/test/java/larkworks/proxy/ProxyFleet.java
+++ b/src/test/java/larkworks/proxy/ProxyFleet.java
@@ -51,7 +51,7 @@
         this.folder = folder;
         List<InetSocketAddress> memberAddresses = new ArrayList<>();
         while (memberAddresses.size() < proxyCount) {
-            try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getByName(Bench.HOST))) {
+            try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getByName(TestBench.HOST))) {
                 InetSocketAddress memberAddress = (InetSocketAddress) freeSocket.getLocalSocketAddress();
                 if (!memberAddresses.contains(memberAddress)) {
                     memberAddresses.add(memberAddress);
@@ -59,7 +59,7 @@
             }
         }
         relay = new UdpRelay(memberAddresses);
-        String discoveryAddress = "127.0.0.1:" + Bench.freePort();
+        String discoveryAddress = "127.0.0.1:" + TestBench.freePort();
         this.discoveryAddress = discoveryAddress;
         startListService();
         registryClient = new Caller(discoveryAddress);
@@ -67,15 +67,16 @@
         for (int i = 0; i < proxyCount; i++) {
             peers.add(quoted(relay.front(i)));
         }
-        try (Bench bench = new Bench(0)) {
+        try (TestBench bench = new TestBench(0)) {
             for (int i = 0; i < proxyCount; i++) {
                 listenPorts.add(unusedPort());
                 adminPorts.add(unusedPort());
-                bench.more = "\"peer_listen\":" + quoted(memberAddresses.get(i)) + ",\"peers\":" + peers
+                bench.extraConfig = "\"peer_listen\":" + quoted(memberAddresses.get(i)) + ",\"peers\":"
+                        + peers
                         + ",\"peers_all\":" + quoted(relay.everyone()) + ",\"member\":" + i + ","
                         + extraConfig;
                 configFiles.add(Files.writeString(folder.resolve("proxy" + i + ".json"),
-                        bench.config(listenPorts.get(i), "null")
+                        bench.configJson(listenPorts.get(i), "null")
                                 .replace("\"name\":\"n0\"", "\"name\":\"n" + i + "\"")
                                 .replace('"' + bench.discovery.address() + '"', '"' + discoveryAddress + '"')
                                 .replace("\"coldUs\":1000000", "\"coldUs\":" + coldUs)));
@@ -89,9 +90,9 @@
      * system may return it a second time; this does happen among a hundred ports.
      */
     private int unusedPort() throws IOException {
-        int port = Bench.freePort();
+        int port = TestBench.freePort();
         while (listenPorts.contains(port) || adminPorts.contains(port)) {
-            port = Bench.freePort();
+            port = TestBench.freePort();
         }
         return port;
     }
@@ -111,7 +112,7 @@
     void startProxy(int i) throws Exception {
         Path processFolder = Files.createDirectories(folder.resolve("tmp" + i));
         proxies.set(i, new Program("", Map.of("GW_CONFIG", configFiles.get(i).toString(), "GW_ADMIN_ADDR",
-                Bench.HOST + ":" + adminPorts.get(i), "TMPDIR", processFolder.toString()), "proxy"));
+                TestBench.HOST + ":" + adminPorts.get(i), "TMPDIR", processFolder.toString()), "proxy"));
     }
 
     /** Starts all proxies and waits until each is ready. */
@@ -164,10 +165,11 @@
     }
 
     private int requestStatus(int proxy, String request) {
-        try (java.net.Socket socket = new java.net.Socket(InetAddress.getByName(Bench.HOST),
+        try (java.net.Socket socket = new java.net.Socket(InetAddress.getByName(TestBench.HOST),
                 listenPorts.get(proxy))) {
             socket.setSoTimeout(10_000);
-            Peer.Message answer = new Bench.Client(socket, socket.getInputStream()).send(request).answer();
+            StubServer.Message answer = new TestBench.Client(socket,
+                    socket.getInputStream()).send(request).answer();
             return answer == null ? -1 : Integer.parseInt(answer.line().split(" ")[1]);
         } catch (IOException e) {
             return -1;
@@ -185,7 +187,7 @@
 
     /** Returns the JSON object at a path of a proxy's admin address; empty if the proxy doesn't answer. */
     Map<?, ?> adminJson(int proxy, String path) {
-        try (var input = URI.create("http://" + Bench.HOST + ":" + adminPorts.get(proxy) + path).toURL()
+        try (var input = URI.create("http://" + TestBench.HOST + ":" + adminPorts.get(proxy) + path).toURL()
                 .openStream()) {
             return Json.object(input.readAllBytes());
         } catch (IOException e) {
--- a/src/test/java/larkworks/proxy/ProxyMembersTest.java
+++ b/src/test/java/larkworks/proxy/ProxyMembersTest.java
@@ -32,7 +32,8 @@
      * doesn't answer yet.
      */
     private String memberState(int observer, int member) {
-        try (var input = URI.create("http://" + Bench.HOST + ":" + adminPorts.get(observer) + "/ops/members")
+        try (var input = URI.create("http://" + TestBench.HOST + ":" + adminPorts.get(observer)
+                + "/ops/members")
                 .toURL().openStream()) {
             Map<?, ?> membersJson = Json.object(input.readAllBytes());
             assertEquals(observer, membersJson.get("self"));
@@ -47,23 +48,23 @@
     void proxiesDetectMembersThatLeaveOrDie() throws Exception {
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getByName(Bench.HOST))) {
-                peers.add('"' + Bench.HOST + ":" + freeSocket.getLocalPort() + '"');
+            try (DatagramSocket freeSocket = new DatagramSocket(0, InetAddress.getByName(TestBench.HOST))) {
+                peers.add('"' + TestBench.HOST + ":" + freeSocket.getLocalPort() + '"');
             }
         }
         List<Process> processes = new ArrayList<>();
-        try (Bench bench = new Bench(1)) {
+        try (TestBench bench = new TestBench(1)) {
             for (int i = 0; i < 4; i++) {
-                bench.more = "\"peer_listen\":" + peers.get(i) + ",\"peers\":" + peers
+                bench.extraConfig = "\"peer_listen\":" + peers.get(i) + ",\"peers\":" + peers
                         + ",\"membership\":{\"probe_interval_ms\":200,\"probe_timeout_ms\":80},";
                 Path configFile = Files.writeString(folder.resolve(i + ".json"),
-                        bench.config(Bench.freePort(), bench.all(1)));
-                adminPorts.add(Bench.freePort());
+                        bench.configJson(TestBench.freePort(), bench.fullList(1)));
+                adminPorts.add(TestBench.freePort());
                 ProcessBuilder builder = new ProcessBuilder("java", "-XX:+UseSerialGC", "-Xmx40m", "-cp",
                         System.getProperty("java.class.path"), "larkworks.cli.Larkworks", "proxy")
                         .redirectError(folder.resolve(i + ".log").toFile());
                 builder.environment().putAll(Map.of("GW_CONFIG", configFile.toString(), "GW_ADMIN_ADDR",
-                        Bench.HOST + ":" + adminPorts.get(i), "TMPDIR", folder.toString()));
+                        TestBench.HOST + ":" + adminPorts.get(i), "TMPDIR", folder.toString()));
                 processes.add(builder.start());
             }
             await(() -> List.of(0, 1, 2, 3).stream().allMatch(i -> memberState(i, 3).equals("alive")));
--- a/src/test/java/larkworks/proxy/ReadinessTest.java
+++ b/src/test/java/larkworks/proxy/ReadinessTest.java
@@ -20,9 +20,9 @@
     @TempDir
     Path folder;
 
-    private static void awaitReady(Bench bench) throws Exception {
-        Bench.Client client = bench.client();
-        Program.await((int) Peer.LIMIT_S, () -> "the proxy did not become ready", () -> {
+    private static void awaitReady(TestBench bench) throws Exception {
+        TestBench.Client client = bench.client();
+        Program.await((int) StubServer.TIMEOUT_S, () -> "the proxy did not become ready", () -> {
             try {
                 return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
             } catch (java.io.IOException e) {
@@ -34,9 +34,9 @@
     /** The proxy serves by the list in its configuration; a call that hangs times out and is repeated. */
     @Test
     void isReadyThoughDiscoveryHangsAndKeepsCallingIt() throws Exception {
-        try (Bench bench = new Bench(1).start(folder)) {
+        try (TestBench bench = new TestBench(1).start(folder)) {
             awaitReady(bench);
-            assertEquals(0, bench.served());
+            assertEquals(0, bench.serveOneRequest());
             for (int call = 0; call < 3; call++) {
                 String line = bench.discovery.next().line();
                 assertTrue(line.startsWith("GET /registry/instances?index=1&"), line);
@@ -47,16 +47,16 @@
     /** An answer may take 4 s from its first byte; a list completed after readiness is still applied. */
     @Test
     void isReadyWhileTheFirstListIsIncompleteAndAppliesItLater() throws Exception {
-        try (Bench bench = new Bench(2)) {
-            String list = Bench.list(7, true, bench.entry(1, "in_service"));
-            String knownList = Bench.list(1, true, bench.entry(0, "in_service"));
+        try (TestBench bench = new TestBench(2)) {
+            String list = TestBench.listJson(7, true, bench.entry(1, "in_service"));
+            String knownList = TestBench.listJson(1, true, bench.entry(0, "in_service"));
             bench.start(folder, knownList);
-            Peer.Message listCall = bench.discovery.next();
-            listCall.raw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
+            StubServer.Message listCall = bench.discovery.next();
+            listCall.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n");
             int[] sentBytes = {0};
             Thread byteSender = new Thread(() -> {
                 while (!Thread.currentThread().isInterrupted()) {
-                    listCall.raw(list.substring(sentBytes[0], ++sentBytes[0]));
+                    listCall.sendRaw(list.substring(sentBytes[0], ++sentBytes[0]));
                     try {
                         Thread.sleep(BYTE_INTERVAL_MS);
                     } catch (InterruptedException e) {
@@ -68,14 +68,14 @@
             byteSender.start();
             awaitReady(bench);
             byteSender.interrupt();
-            byteSender.join(TimeUnit.SECONDS.toMillis(Peer.LIMIT_S));
-            assertTrue(listCall.ended().getCount() > 0,
+            byteSender.join(TimeUnit.SECONDS.toMillis(StubServer.TIMEOUT_S));
+            assertTrue(listCall.connectionEnded().getCount() > 0,
                     "the proxy must be ready while it still reads the answer");
-            listCall.raw(list.substring(sentBytes[0]));
+            listCall.sendRaw(list.substring(sentBytes[0]));
             // If the answer had timed out, the proxy would not ask from index 7 on.
             assertTrue(bench.discovery.next().line().contains("?index=7&"),
                     "the received list was not applied");
-            assertEquals(1, bench.served(), "must be served by the received list");
+            assertEquals(1, bench.serveOneRequest(), "must be served by the received list");
         }
     }
 }
--- a/src/test/java/larkworks/proxy/RepeatWindowTest.java
+++ b/src/test/java/larkworks/proxy/RepeatWindowTest.java
@@ -23,18 +23,19 @@
 
     @Test
     void doesNotSendRetryWhoseConnectionIsEstablishedAfterDedupWindow() throws Exception {
-        try (Bench bench = new Bench(1); Hanging hangingBackend = new Hanging()) {
+        try (TestBench bench = new TestBench(1); FullBacklogServer hangingBackend = new FullBacklogServer()) {
             bench.dedupWindowUs = DEDUP_WINDOW_US;
             // With the configured seed, the first backend of the list gets the first request.
-            bench.start(folder, Bench.list(1, true, bench.entry(0, "in_service"),
-                    Bench.entry("late", hangingBackend.address(), "in_service")));
-            Bench.Client client = bench.client().post("pay", "r1", "x", "Idempotency-Key: k1\r\n");
-            Peer.Message firstAttempt = bench.backends.get(0).next();
+            bench.start(folder, TestBench.listJson(1, true, bench.entry(0, "in_service"),
+                    TestBench.entry("late", hangingBackend.address(), "in_service")));
+            TestBench.Client client = bench.client().sendPost("pay", "r1", "x", "Idempotency-Key: k1\r\n");
+            StubServer.Message firstAttempt = bench.backends.get(0).next();
             firstAttempt.reset();
             // The operating system retries the connection attempt after one second.
             Thread.sleep(DEDUP_WINDOW_US / 1000);
             Socket retryConnection = hangingBackend.accept();
-            assertTrue(Hanging.silent(retryConnection), "the retry must not be sent after the window");
+            assertTrue(FullBacklogServer.hasReceivedNothing(retryConnection),
+                    "the retry must not be sent after the window");
             assertEquals(503, client.status());
         }
     }
--- a/src/test/java/larkworks/proxy/ReplacementTest.java
+++ b/src/test/java/larkworks/proxy/ReplacementTest.java
@@ -27,7 +27,7 @@
     @TempDir
     Path folder;
 
-    private Bench bench;
+    private TestBench bench;
     private final List<Process> processes = new ArrayList<>();
     private final AtomicBoolean isTestOver = new AtomicBoolean();
     /** Ids of the requests that backends received. */
@@ -36,13 +36,13 @@
 
     @BeforeEach
     void setUp() throws Exception {
-        bench = new Bench(2);
-        bench.at(Bench.freePort());
-        bench.list(bench.all(7));
-        for (Peer backend : bench.backends) {
+        bench = new TestBench(2);
+        bench.useProxyAt(TestBench.freePort());
+        bench.answerDiscoveryWith(bench.fullList(7));
+        for (StubServer backend : bench.backends) {
             spawn(() -> serve(backend));
         }
-        Files.writeString(folder.resolve("config.json"), bench.config(bench.port(), bench.all(7)));
+        Files.writeString(folder.resolve("config.json"), bench.configJson(bench.port(), bench.fullList(7)));
         Files.createDirectory(folder.resolve("tmp"));
     }
 
@@ -75,9 +75,9 @@
         threads.add(thread);
     }
 
-    private void serve(Peer backend) throws InterruptedException {
+    private void serve(StubServer backend) throws InterruptedException {
         while (!isTestOver.get()) {
-            Peer.Message message = backend.next();
+            StubServer.Message message = backend.next();
             String id = message.header("X-Call-Id");
             receivedIds.add(id);
             message.reply(200, id);
@@ -89,7 +89,7 @@
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
                 System.getProperty("java.class.path"), "larkworks.cli.Larkworks", "proxy");
         builder.environment().put("GW_CONFIG", folder.resolve("config.json").toString());
-        builder.environment().put("GW_ADMIN_ADDR", Bench.HOST + ":" + adminPort);
+        builder.environment().put("GW_ADMIN_ADDR", TestBench.HOST + ":" + adminPort);
         builder.environment().put("TMPDIR", folder.resolve("tmp").toString());
         builder.redirectError(ProcessBuilder.Redirect.INHERIT);
         Process process = builder.start();
@@ -98,21 +98,21 @@
     }
 
     private static void awaitReady(int adminPort) throws Exception {
-        while (Bench.awaitCall(adminPort, "GET", "/ops/readiness") != 200) {
+        while (TestBench.awaitAdminCall(adminPort, "GET", "/ops/readiness") != 200) {
             Thread.sleep(10);
         }
     }
 
     /** Sends requests until stopped, on new and on kept-alive connections; asserts that each is served. */
     private void sendRequests(String name, List<String> servedIds, AtomicBoolean isStopped) throws Exception {
-        Bench.Client keepAliveClient = bench.client();
+        TestBench.Client keepAliveClient = bench.client();
         for (int i = 0; !isStopped.get(); i++) {
             String id = name + "-" + i;
             if (i % 3 == 0) {
                 keepAliveClient.socket().close();
                 keepAliveClient = bench.client();
             }
-            Peer.Message answer = keepAliveClient.look(id).answer();
+            StubServer.Message answer = keepAliveClient.sendLook(id).answer();
             assertEquals(id, answer == null ? null : answer.text(), "the answer to " + id);
             servedIds.add(id);
             if ("close".equals(answer.header("Connection"))) {
@@ -125,11 +125,11 @@
 
     @Test
     void losesAndRepeatsNoRequestWhileOneProcessReplacesAnother() throws Exception {
-        int oldAdminPort = Bench.freePort();
+        int oldAdminPort = TestBench.freePort();
         Process oldProcess = startProxy(oldAdminPort);
         awaitReady(oldAdminPort);
-        Bench.Client idleClient = bench.client();
-        assertEquals(200, idleClient.look("first").status());
+        TestBench.Client idleClient = bench.client();
+        assertEquals(200, idleClient.sendLook("first").status());
         AtomicBoolean isStopped = new AtomicBoolean();
         List<String> servedIds = Collections.synchronizedList(new ArrayList<>());
         List<Throwable> failures = Collections.synchronizedList(new ArrayList<>());
@@ -147,13 +147,13 @@
             clients.add(client);
         }
 
-        int newAdminPort = Bench.freePort();
+        int newAdminPort = TestBench.freePort();
         long startNs = System.nanoTime();
         Process newProcess = startProxy(newAdminPort);
         awaitReady(newAdminPort);
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
         oldProcess.destroy();
-        assertTrue(oldProcess.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(oldProcess.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
         int servedBefore = servedIds.size();
         while (servedIds.size() < servedBefore + 100 && failures.isEmpty()) {
             Thread.sleep(10);
@@ -173,37 +173,39 @@
 
     @Test
     void theOldProcessKeepsServingIfTheNewOneFailsToStart() throws Exception {
-        int adminPort = Bench.freePort();
+        int adminPort = TestBench.freePort();
         Process oldProcess = startProxy(adminPort);
         awaitReady(adminPort);
         Process newProcess = startProxy(adminPort);  // its admin address is in use
-        assertTrue(newProcess.waitFor(Peer.LIMIT_S, TimeUnit.SECONDS));
+        assertTrue(newProcess.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
         assertNotEquals(0, newProcess.exitValue());
-        assertEquals(200, bench.client().look("on").status());
-        assertEquals(200, Bench.call(adminPort, "GET", "/ops/readiness", ""));
+        assertEquals(200, bench.client().sendLook("on").status());
+        assertEquals(200, TestBench.callAdmin(adminPort, "GET", "/ops/readiness", ""));
         assertTrue(oldProcess.isAlive());
     }
 
     @Test
     void twoProcessesShareTheOperatorsCommands() throws Exception {
-        int firstAdminPort = Bench.freePort();
-        int secondAdminPort = Bench.freePort();
+        int firstAdminPort = TestBench.freePort();
+        int secondAdminPort = TestBench.freePort();
         startProxy(firstAdminPort);
         awaitReady(firstAdminPort);
-        assertEquals(200, Bench.call(firstAdminPort, "PUT", "/ops/backends/down", "{\"who\":\"b0\"}"));
+        assertEquals(200, TestBench.callAdmin(firstAdminPort, "PUT", "/ops/backends/down",
+                "{\"who\":\"b0\"}"));
         Process newProcess = startProxy(secondAdminPort);
         awaitReady(secondAdminPort);
-        assertEquals(200, Bench.call(secondAdminPort, "PUT", "/ops/backends/down", "{\"who\":\"b1\"}"));
+        assertEquals(200, TestBench.callAdmin(secondAdminPort, "PUT", "/ops/backends/down",
+                "{\"who\":\"b1\"}"));
         awaitReadiness(firstAdminPort, 503);
-        assertEquals(503, Bench.call(secondAdminPort, "GET", "/ops/readiness", ""),
+        assertEquals(503, TestBench.callAdmin(secondAdminPort, "GET", "/ops/readiness", ""),
                 "both backends are in maintenance, b0 by a command to the other process");
-        assertEquals(200, Bench.call(firstAdminPort, "PUT", "/ops/backends/up", "{\"who\":\"b1\"}"));
+        assertEquals(200, TestBench.callAdmin(firstAdminPort, "PUT", "/ops/backends/up", "{\"who\":\"b1\"}"));
         awaitReadiness(secondAdminPort, 200);
         assertTrue(newProcess.isAlive());
     }
 
     private static void awaitReadiness(int adminPort, int status) throws Exception {
-        while (Bench.call(adminPort, "GET", "/ops/readiness", "") != status) {
+        while (TestBench.callAdmin(adminPort, "GET", "/ops/readiness", "") != status) {
             Thread.sleep(10);
         }
     }
--- a/src/test/java/larkworks/proxy/StartupExperiment.java
+++ b/src/test/java/larkworks/proxy/StartupExperiment.java
@@ -48,24 +48,25 @@
             DiscoveryStub.ResponseMode mode) throws Exception {
         String[] entries = new String[BACKEND_COUNT];
         for (int i = 0; i < BACKEND_COUNT; i++) {
-            entries[i] = Bench.entry("b" + i, "127.0.0.1:" + (i + 1), "in_service");
+            entries[i] = TestBench.entry("b" + i, "127.0.0.1:" + (i + 1), "in_service");
         }
-        String listJson = Bench.list(1, true, entries);
+        String listJson = TestBench.listJson(1, true, entries);
         Path folder = Files.createTempDirectory("startup");
         List<ProxyProcess> processes = new ArrayList<>();
         long[] readyAfterMs = new long[processCount];
         long[] cpuTicks = new long[processCount];
-        try (DiscoveryStub discovery = new DiscoveryStub(mode, listJson); Bench bench = new Bench(0)) {
+        try (DiscoveryStub discovery = new DiscoveryStub(mode, listJson);
+                TestBench bench = new TestBench(0)) {
             Set<Integer> ports = new HashSet<>();
             while (ports.size() < 2 * processCount) {
-                ports.add(Bench.freePort());  // may return a port twice, since it is closed again
+                ports.add(TestBench.freePort());  // may return a port twice, since it is closed again
             }
             List<Integer> freePorts = List.copyOf(ports);
             List<Thread> pollers = new ArrayList<>();
             for (int i = 0; i < processCount; i++) {
                 Path processFolder = Files.createDirectory(folder.resolve("own" + i));
                 Path config = Files.writeString(folder.resolve("config" + i + ".json"),
-                        bench.config(freePorts.get(i), listJson).replace(Bench.HOST, HOST)
+                        bench.configJson(freePorts.get(i), listJson).replace(TestBench.HOST, HOST)
                                 .replace(bench.discovery.address(), discovery.address()));
                 ProxyProcess proxyProcess = new ProxyProcess(cores, config, processFolder, hasAdminAddress
                         ? Map.of("GW_ADMIN_ADDR", HOST + ":" + freePorts.get(processCount + i)) : Map.of());
@@ -101,7 +102,7 @@
         while (System.nanoTime() - proxyProcess.startNs < TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S)) {
             try (Socket socket = new Socket(InetAddress.getByName(HOST), port)) {
                 socket.setSoTimeout(10_000);
-                Peer.Message answer = new Bench.Client(socket, socket.getInputStream())
+                StubServer.Message answer = new TestBench.Client(socket, socket.getInputStream())
                         .send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer();
                 if (answer != null && answer.line().split(" ")[1].equals("200")) {
                     long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - proxyProcess.startNs);
--- a/src/test/java/larkworks/proxy/Peer.java
+++ b/src/test/java/larkworks/proxy/StubServer.java
@@ -21,19 +21,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A backend or discovery in a test's hands: it shows what came and answers only as the test says. */
-final class Peer implements AutoCloseable {
+/** A stub backend or discovery: it queues the requests that it receives, and the test answers them. */
+final class StubServer implements AutoCloseable {
 
-    static final long LIMIT_S = 30;
+    static final long TIMEOUT_S = 30;
 
     private final ServerSocket listener;
-    private final Thread accepting;
+    private final Thread acceptThread;
     private final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = Collections.synchronizedList(new ArrayList<>());
 
-    Peer() throws IOException {
+    StubServer() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        accepting = spawn(() -> {
+        acceptThread = spawn(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 sockets.add(socket);
@@ -46,61 +46,63 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** The next message that came. */
+    /** Waits for the next message that the test has not taken yet, and returns it. */
     Message next() throws InterruptedException {
-        Message message = received.poll(LIMIT_S, TimeUnit.SECONDS);
+        Message message = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
         if (message == null) {
-            throw new AssertionError("no message came");
+            throw new AssertionError("no message was received within " + TIMEOUT_S + " s");
         }
         return message;
     }
 
-    int waiting() {
+    /** Returns how many messages were received that the test has not taken yet. */
+    int pendingMessages() {
         return received.size();
     }
 
+    /** Returns how many connections were accepted so far, including closed ones. */
     int connections() {
         return sockets.size();
     }
 
     private void serve(Socket socket) throws IOException {
-        CountDownLatch ended = new CountDownLatch(1);
+        CountDownLatch connectionEnded = new CountDownLatch(1);
         try {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            Message message = Message.read(in, socket, ended);
+            Message message = Message.read(in, socket, connectionEnded);
             while (message != null) {
                 received.add(message);
-                message = Message.read(in, socket, ended);
+                message = Message.read(in, socket, connectionEnded);
             }
         } finally {
-            ended.countDown();
+            connectionEnded.countDown();
         }
     }
 
-    /** Until the accepting thread has left its call, the port still takes connections, closed or not. */
+    /** Waits for the accepting thread too: until its accept call returns, the port takes connections. */
     @Override
     public void close() throws IOException {
         listener.close();
         try {
-            accepting.join();
+            acceptThread.join();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new InterruptedIOException("closed, but maybe still accepting");
+            throw new InterruptedIOException("interrupted while waiting for the accepting thread to end");
         }
         for (Socket socket : List.copyOf(sockets)) {
             socket.close();
         }
     }
 
-    /** Something that ends with its socket. */
-    private interface Job {
+    /** A task that ends when its socket is closed. */
+    private interface SocketTask {
         void run() throws IOException;
     }
 
-    private static Thread spawn(Job job) {
+    private static Thread spawn(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
-                job.run();
+                task.run();
             } catch (IOException e) {
                 // The socket was closed, by the test or by the proxy.
             }
@@ -110,33 +112,34 @@
         return thread;
     }
 
-    /** An HTTP message, a request or a response, with the connection that it came on. */
+    /** An HTTP request or response, with the connection on which it was received. */
     record Message(String line, Map<String, String> headers, byte[] body, Socket socket,
-            CountDownLatch ended) {
+            CountDownLatch connectionEnded) {
 
-        /** Reads a message with a length; null at the end of the connection. */
-        static Message read(InputStream in, Socket socket, CountDownLatch ended) throws IOException {
-            String line = line(in);
+        /** Reads a message with a Content-Length or no body; returns null at the end of the connection. */
+        static Message read(InputStream in, Socket socket, CountDownLatch connectionEnded)
+                throws IOException {
+            String line = readLine(in);
             if (line == null) {
                 return null;
             }
             Map<String, String> headers = new LinkedHashMap<>();
-            for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
+            for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
                 int colon = header.indexOf(':');
                 headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT),
                         header.substring(colon + 1).strip());
             }
             int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
-            return new Message(line, headers, in.readNBytes(length), socket, ended);
+            return new Message(line, headers, in.readNBytes(length), socket, connectionEnded);
         }
 
-        private static String line(InputStream in) throws IOException {
+        private static String readLine(InputStream in) throws IOException {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
-            for (int b = in.read(); b != '\n'; b = in.read()) {
-                if (b < 0) {
+            for (int next = in.read(); next != '\n'; next = in.read()) {
+                if (next < 0) {
                     return null;
                 }
-                line.write(b);
+                line.write(next);
             }
             return line.toString(StandardCharsets.ISO_8859_1).strip();
         }
@@ -149,19 +152,20 @@
             return new String(body, StandardCharsets.UTF_8);
         }
 
-        /** Answers; each header is a whole line. */
+        /** Sends a response; each header is a line without its line end. */
         void reply(int status, String text, String... headers) {
-            StringBuilder message = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
+            StringBuilder response = new StringBuilder("HTTP/1.1 " + status + " X\r\n");
             for (String header : headers) {
-                message.append(header).append("\r\n");
+                response.append(header).append("\r\n");
             }
-            message.append("Content-Length: ").append(text.length()).append("\r\n\r\n").append(text);
-            raw(message.toString());
+            response.append("Content-Length: ").append(text.length()).append("\r\n\r\n").append(text);
+            sendRaw(response.toString());
         }
 
-        void raw(String bytes) {
+        /** Sends these characters as they are, without adding a head. */
+        void sendRaw(String characters) {
             try {
-                socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
+                socket.getOutputStream().write(characters.getBytes(StandardCharsets.UTF_8));
                 socket.getOutputStream().flush();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -174,9 +178,9 @@
         }
 
         /** Waits until the other side has closed the connection. */
-        void awaitEnd() throws InterruptedException {
-            if (!ended.await(LIMIT_S, TimeUnit.SECONDS)) {
-                throw new AssertionError("the connection stays open");
+        void awaitConnectionEnd() throws InterruptedException {
+            if (!connectionEnded.await(TIMEOUT_S, TimeUnit.SECONDS)) {
+                throw new AssertionError("the connection was not closed within " + TIMEOUT_S + " s");
             }
         }
     }
