--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -109,10 +109,9 @@
      */
     private long listCurrentUs = Long.MIN_VALUE;
     /**
-     * The earliest time, by the driver's clock, at which this proxy may have missed a change. With discovery
-     * {@code pushed}, by the platform's terms a change counts as delivered once discovery has it, whether or
-     * not the proxy has asked.
-     * {@code Long.MAX_VALUE} if no change can have been missed.
+     * The earliest time, by the driver's clock, at which this proxy may have missed a change;
+     * {@code Long.MAX_VALUE} if none can have been missed. With discovery {@code pushed}, the platform
+     * regards a change as delivered to the proxy as soon as discovery has it, even if no call has fetched it.
      */
     private long missedSinceUs;
     private boolean closed;
--- a/src/main/java/larkworks/proxy/DiscoveryWaits.java
+++ b/src/main/java/larkworks/proxy/DiscoveryWaits.java
@@ -17,9 +17,9 @@
     private static final long WATCH_WAIT_MS = 3_250;
     /** A watch times out this long after the end of its wait. */
     private static final long WATCH_TIMEOUT_MARGIN_MS = 1_250;
-    /** The wait of the first call at an address; short, as the proxy's start depends on the answer. */
+    /** The wait that the first call at an address asks for; short, as the proxy's start needs the answer. */
     private static final long FIRST_CALL_WAIT_MS = 1;
-    /** The wait of the first call after a failed one; short, as it must show whether discovery is back. */
+    /** The wait that the first call after a failed one asks for; short, to show soon if discovery is back. */
     private static final long CATCH_UP_WAIT_MS = 500;
     /** Timeout of the first call at an address, of a call for the full list, and of a connection attempt. */
     static final long FIRST_CALL_TIMEOUT_MS = 2_000;
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -289,7 +289,7 @@
         }
     }
 
-    /** Thrown for a request that is invalid or exceeds a limit; the status is the answer's. */
+    /** Thrown for a request that is invalid or exceeds a limit; holds the status to answer it with. */
     private static final class RejectedException extends Exception {
         private static final long serialVersionUID = 1L;
         private final transient HttpResponseStatus status;
@@ -387,7 +387,10 @@
         private long receivedBodyBytes;
         /** The current body's part of {@link #bufferedBytes}. */
         private int reservedBytes;
-        /** Start of the time over which the body's rate is measured; lies in the future at first. */
+        /**
+         * The time from which the body must arrive at its minimum rate. It lies in the future when the
+         * request begins, as the client first has a grace period.
+         */
         private long bodyRateStartMs;
         /** The current request as parsed from its head, without the body; null if it was rejected. */
         private Driver.Inbound parsedRequest;
@@ -596,7 +599,8 @@
             receivedBodyBytes = 0;
             body = Unpooled.buffer(0);
             keepAlive = HttpUtil.isKeepAlive(request);
-            // An unproven connection's time runs from its acceptance, a proven one's from the head.
+            // The timeout of a connection's first valid request starts when the connection is accepted, that
+            // of later requests when their head arrives.
             bodyRateStartMs = Math.max(nowMs() + BODY_GRACE_MS,
                     (proven ? nowMs() : openedMs) + REQUEST_TIMEOUT_MS);
             scheduleBodyCheck();
@@ -835,7 +839,10 @@
             return lingering.close(channel, last);
         }
 
-        /** Closes at once: with a reset if an answer that ends with its connection would look complete. */
+        /**
+         * Closes at once. Sends a reset if the end of the connection marks the end of the answer being
+         * streamed, as a plain close would make the truncated answer look complete.
+         */
         private void closeNow(CloseReason reason) {
             logClosed(reason);
             if (streamedAnswer != null && streamedAnswer.endsWithConnection) {
--- a/src/main/java/larkworks/proxy/ListFreshness.java
+++ b/src/main/java/larkworks/proxy/ListFreshness.java
@@ -23,8 +23,8 @@
 
     private static final Logger LOG = LoggerFactory.getLogger("discovery");
     /**
-     * By the platform's terms a change counts as delivered to the proxy this long after discovery had it,
-     * even if no call has fetched it.
+     * The platform regards a change as delivered to the proxy this long after discovery received it, even
+     * if no call has fetched it.
      */
     private static final long DELIVERED_AFTER_US = 6_000_000;
 
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -236,8 +236,8 @@
 
         @Override
         public void dropped(String why) {
-            // Only counted, in the members table: a log line for each datagram would let a flood fill the
-            // log.
+            // Dropped datagrams are counted in the members table but not logged: a flood of them would
+            // fill the log.
         }
 
         @Override
--- a/src/main/java/larkworks/proxy/PipelinedMessages.java
+++ b/src/main/java/larkworks/proxy/PipelinedMessages.java
@@ -52,7 +52,7 @@
             dropped = true;
             ReferenceCountUtil.release(message);
             while (!entries.isEmpty() && !(entries.peekLast().message() instanceof LastHttpContent)) {
-                // Drops the messages of the last request, which is now incomplete.
+                // Drops the queued part of the last request, as the rest of it is dropped too.
                 ReferenceCountUtil.release(subtractSize(entries.pollLast()).message());
             }
             return false;
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -55,8 +55,8 @@
      *
      * @param servers the servers as listed
      * @param previousListUs when the previous list was current; {@code Long.MIN_VALUE} if there is none
-     * @param corrected receives servers of earlier lists whose start time turns out later than assumed, by a
-     *     clock offset that these servers reveal
+     * @param corrected receives the servers of earlier lists whose start time moves to a later time, because
+     *     the listed servers show that the clock offset differs from the assumed one
      */
     List<Server> toLocalClock(long nowUs, ListKind kind, List<Server> servers, long previousListUs,
             List<Server> corrected) {
--- a/src/main/java/larkworks/proxy/Warmup.java
+++ b/src/main/java/larkworks/proxy/Warmup.java
@@ -58,7 +58,7 @@
         if (remainingRequests >= 0) {
             remainingRequests = -1;
             while (pool.evictLongestIdle()) {
-                // Each call closes one idle connection.
+                // evictLongestIdle closes one idle connection per call.
             }
             onFinished.run();
         }
--- a/src/test/java/larkworks/proxy/ClientDisconnectTest.java
+++ b/src/test/java/larkworks/proxy/ClientDisconnectTest.java
@@ -77,7 +77,10 @@
         }
     }
 
-    /** The request before it is answered at its deadline, while the disconnect is unread. */
+    /**
+     * The deadline of the first request passes before the proxy reads the disconnect. The proxy answers that
+     * request and must not send the pipelined one to a backend.
+     */
     @ParameterizedTest
     @EnumSource(Disconnect.class)
     void doesNotSendPipelinedRequest(Disconnect disconnect) throws Exception {
--- a/src/test/java/larkworks/proxy/GracefulShutdownTest.java
+++ b/src/test/java/larkworks/proxy/GracefulShutdownTest.java
@@ -124,7 +124,7 @@
         }
     }
 
-    /** The shutdown is queued in the event loop behind the warm-up's beginning, and before its end. */
+    /** The event loop runs the shutdown after the warm-up has begun and before it ends. */
     @Test
     void endsWhenShutDownDuringWarmUp() throws Exception {
         try (TestBench bench = new TestBench(1)) {
--- a/src/test/java/larkworks/proxy/LargeFleetTest.java
+++ b/src/test/java/larkworks/proxy/LargeFleetTest.java
@@ -30,7 +30,7 @@
         return bench.backends.get(server % LISTENER_COUNT).address();
     }
 
-    /** Sends requests one by one and asserts that this listener serves them all; -1 stands for any. */
+    /** Sends requests one by one and asserts that all are served, by the given listener unless it is -1. */
     private static void assertServedBy(TestBench bench, int listener) throws Exception {
         for (int i = 0; i < REQUESTS_PER_CHECK; i++) {
             int servedBy = bench.serveOneRequest();
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -447,7 +447,7 @@
         }
     }
 
-    /** Changes that a silent watch misses count as notified after 6 s; a new watch must be open by then. */
+    /** Changes that a silent watch misses count as delivered after 6 s; a new watch must be open by then. */
     @Test
     void watchWaitStaysBelowNotificationLimit() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
@@ -460,7 +460,7 @@
         }
     }
 
-    /** The pause that follows a failure must not apply: changes missed in it would count as notified. */
+    /** The pause that follows a failure must not apply: changes missed in it would count as delivered. */
     @Test
     void reopensSilentWatchAtOnceInOnRequestMode() throws Exception {
         try (TestBench bench = new TestBench(1)) {
@@ -607,7 +607,10 @@
         }
     }
 
-    /** A pushed list's contents count as notified from the process's start, so readiness waits for it. */
+    /**
+     * With pushed discovery, the platform regards the list as delivered when the process starts, so the proxy
+     * must not be ready before it has the list or discovery has failed.
+     */
     @ParameterizedTest
     @ValueSource(ints = {200, 503})
     void isReadyOnceListReceivedOrDiscoveryFailed(int status) throws Exception {
--- a/src/test/java/larkworks/proxy/TestBench.java
+++ b/src/test/java/larkworks/proxy/TestBench.java
@@ -49,7 +49,7 @@
     Map<String, String> environment = Map.of();
     /** Further members of the configuration's JSON object, each followed by a comma. */
     String extraConfig = "";
-    /** Further discovery services in the configuration, behind {@link #discovery}. */
+    /** Further discovery services, listed after {@link #discovery} in the configuration. */
     List<StubServer> otherDiscoveries = List.of();
     private Thread listResponder;
     private volatile String currentList;
