--- a/src/main/java/larkworks/proxy/AdminServer.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -109,10 +109,10 @@
             return new Reply(HttpResponseStatus.BAD_REQUEST, "no HTTP/1.1 call");
         }
         String path = request.uri();
-        boolean toMaintenance = path.equals("/ops/backends/down");
+        boolean inMaintenance = path.equals("/ops/backends/down");
         Supplier<String> table = jsonTables.get(path);
         boolean isQuery = table != null || path.equals("/ops/readiness");
-        if (!toMaintenance && !isQuery && !path.equals("/ops/backends/up")) {
+        if (!inMaintenance && !isQuery && !path.equals("/ops/backends/up")) {
             return new Reply(HttpResponseStatus.NOT_FOUND, "no such call");
         }
         if (!request.method().equals(isQuery ? HttpMethod.GET : HttpMethod.PUT)) {
@@ -125,10 +125,10 @@
             return isReady.getAsBoolean() ? new Reply(HttpResponseStatus.OK, "ready")
                     : new Reply(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
         }
-        return setMaintenance(request, toMaintenance);
+        return setMaintenance(request, inMaintenance);
     }
 
-    private Reply setMaintenance(FullHttpRequest request, boolean toMaintenance) {
+    private Reply setMaintenance(FullHttpRequest request, boolean inMaintenance) {
         Object nameValue;
         try {
             nameValue = Json.object(ByteBufUtil.getBytes(request.content())).get("who");
@@ -138,8 +138,8 @@
         if (!(nameValue instanceof String backend)) {
             return new Reply(HttpResponseStatus.BAD_REQUEST, "'who' is missing or no string");
         }
-        return switch (maintenance.setMaintenance(backend, toMaintenance)) {
-            case DONE -> new Reply(HttpResponseStatus.OK, toMaintenance ? "left out" : "may serve again");
+        return switch (maintenance.setMaintenance(backend, inMaintenance)) {
+            case DONE -> new Reply(HttpResponseStatus.OK, inMaintenance ? "left out" : "may serve again");
             case UNKNOWN_BACKEND -> new Reply(HttpResponseStatus.NOT_FOUND, "no such backend");
             case NOT_STORED -> new Reply(HttpResponseStatus.INTERNAL_SERVER_ERROR, "the call can't be kept");
         };
--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -130,10 +130,10 @@
                 channel.pipeline().addLast(new HttpRequestEncoder(), new ResponseDecoder(), connection);
             }
         });
-        connection.channel = sockets.connect(connectionBootstrap, loop, address, connected -> {
-            if (connected != null && connected.isSuccess()) {
+        connection.channel = sockets.connect(connectionBootstrap, loop, address, connectFuture -> {
+            if (connectFuture != null && connectFuture.isSuccess()) {
                 exchange.write(connection);
-            } else if (connected == null || SystemError.of(connected.cause()).isLocal()) {
+            } else if (connectFuture == null || SystemError.of(connectFuture.cause()).isLocal()) {
                 retryAfterLocalFailure(address, exchange);
             } else {
                 exchange.end(AttemptResult.of(Outcome.CONNECT_FAILED));
@@ -454,7 +454,7 @@
             this.length = HttpFraming.bodyLength(head);
         }
 
-        boolean isServed() {
+        boolean hasStatusOk() {
             return head.status().code() == 200;
         }
 
@@ -465,7 +465,7 @@
         AttemptResult answer() {
             HttpResponseStatus status = head.status();
             LoadReport load = parseLoadReport(head.headers().get("X-Load-Report"));
-            if (isServed()) {
+            if (hasStatusOk()) {
                 return new AttemptResult(Outcome.OK, sink == null ? ByteBufUtil.getBytes(buffered) : null,
                         contentType(), load, false);
             }
@@ -553,14 +553,14 @@
                 return;
             }
             IncomingAnswer received = new IncomingAnswer(head);
-            if (received.isServed() && received.length > MAX_BODY_BYTES) {
+            if (received.hasStatusOk() && received.length > MAX_BODY_BYTES) {
                 received.release();
                 reject();
                 return;
             }
             incoming = received;
             reusable = HttpUtil.isKeepAlive(head);
-            if (incoming.isServed() && incoming.length > MAX_BUFFERED_BODY_BYTES) {
+            if (incoming.hasStatusOk() && incoming.length > MAX_BUFFERED_BODY_BYTES) {
                 startForwarding();
             }
         }
@@ -572,7 +572,7 @@
                 return;
             }
             int size = content.content().readableBytes();
-            if (!incoming.isServed()) {
+            if (!incoming.hasStatusOk()) {
                 incoming.discardedBytes += size;
                 if (incoming.discardedBytes > MAX_BUFFERED_BODY_BYTES) {
                     // Only the head is needed, and closing is cheaper than reading a large body.
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -274,13 +274,13 @@
                                     new HttpRequestEncoder(), new ResponseDecoder(), new AnswerReader());
                         }
                     });
-            channel = sockets.connectReserved(bootstrap, loop, addresses.get(addressIndex), connected -> {
-                if (connected != null && connected.isSuccess()) {
-                    sendRequest(connected.channel());
-                } else if (connected == null || SystemError.of(connected.cause()).isLocal()) {
+            channel = sockets.connectReserved(bootstrap, loop, addresses.get(addressIndex), connectFuture -> {
+                if (connectFuture != null && connectFuture.isSuccess()) {
+                    sendRequest(connectFuture.channel());
+                } else if (connectFuture == null || SystemError.of(connectFuture.cause()).isLocal()) {
                     localConnectFailed(startedNs);
                 } else {
-                    connectionClosed(connected.channel());
+                    connectionClosed(connectFuture.channel());
                 }
             });
         }
@@ -457,12 +457,12 @@
         } else {
             startCall();
         }
-        long deliveredSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
+        long notifiedAtUs = Math.min(missedSinceUs, driver.clock().nowUs());
         missedSinceUs = Long.MAX_VALUE;
         long previousListUs = listCurrentUs;
         listCurrentUs = answeredCallStartedUs;
         driver.listChanged(listing.isFull() ? ListKind.WHOLE : ListKind.CHANGES, listing.entries(),
-                deliveredSinceUs, previousListUs);
+                notifiedAtUs, previousListUs);
         markFirstCallEnded();
     }
 
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -305,8 +305,8 @@
             newestModule = new DecisionModule();
             modules.removeIf(module -> module.pendingRequests == 0);
             modules.add(newestModule);
-            List<Server> servers = backends.values().stream().filter(b -> b.upServer != null)
-                    .map(b -> b.upServer).toList();
+            List<Server> servers = backends.values().stream().filter(backend -> backend.upServer != null)
+                    .map(backend -> backend.upServer).toList();
             newestModule.balancer.serversChanged(clock.nowUs(), ListKind.REMEMBERED, servers);
             inMaintenance.forEach(
                     server -> newestModule.balancer.maintenanceChanged(clock.nowUs(), server, true));
@@ -356,7 +356,8 @@
         public void verdict(String server, Verdict verdict, long untilMs) {
             SHARED.atDebug().addKeyValue("server", server).addKeyValue("verdict", verdict)
                     .addKeyValue("until_ms", untilMs).log("a peer's verdict");
-            runEvent(() -> forEachModule(b -> b.peerVerdict(clock.nowUs(), server, verdict, untilMs * 1000)));
+            runEvent(() -> forEachModule(
+                    balancer -> balancer.peerVerdict(clock.nowUs(), server, verdict, untilMs * 1000)));
         }
 
         @Override
@@ -429,7 +430,8 @@
     /** Returns whether at least one backend is listed as up and not in maintenance. */
     boolean canServe() {
         return backends.entrySet().stream()
-                .anyMatch(b -> b.getValue().status == ServerStatus.UP && !inMaintenance.contains(b.getKey()));
+                .anyMatch(entry -> entry.getValue().status == ServerStatus.UP
+                        && !inMaintenance.contains(entry.getKey()));
     }
 
     /** Returns whether the backend was ever listed or in maintenance. */
@@ -546,7 +548,7 @@
     /** Tells the pool to keep no connections to backends in maintenance. */
     private void updateUnpooledAddresses() {
         pool.setUnpooledAddresses(inMaintenance.stream().map(backends::get)
-                .filter(b -> b != null && b.address != null).map(b -> b.address)
+                .filter(backend -> backend != null && backend.address != null).map(backend -> backend.address)
                 .collect(Collectors.toSet()));
     }
 
@@ -708,12 +710,12 @@
         }
         long nowUs = clock.nowUs();
         runEvent(() -> pending.module.balancer.streamStarted(nowUs, pending.id, attempt.number,
-                attempt.server, nowUs - processableSinceUs(attempt)));
+                attempt.server, nowUs - fullySentAtUs(attempt)));
         return pending.client.startStream(exchange, contentType, length, delivery(pending));
     }
 
     /** Returns when the server could start to process the attempt: when the request's last byte was sent. */
-    private static long processableSinceUs(UpstreamAttempt attempt) {
+    private static long fullySentAtUs(UpstreamAttempt attempt) {
         return attempt.request.isUploading() ? attempt.sentAtUs
                 : Math.max(attempt.sentAtUs, attempt.request.uploadCompletedUs);
     }
@@ -749,7 +751,7 @@
                 }
                 pending.module.balancer.outcome(nowUs, pending.id, attempt.number, attempt.server,
                         answer.invalidRequest() ? Outcome.CANCELLED : answer.outcome(),
-                        nowUs - processableSinceUs(attempt), pending.isAnswered(), answer.report());
+                        nowUs - fullySentAtUs(attempt), pending.isAnswered(), answer.report());
             } catch (RuntimeException e) {
                 failAfterException(pending, e);
             }
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -104,9 +104,9 @@
     private final PollTimes polls;
     private final Settings settings;
     /** Numbers of the request classes, by name. */
-    private final Map<String, Integer> classes = new HashMap<>();
+    private final Map<String, Integer> requestClassNumbers = new HashMap<>();
     /** Numbers of the tenants, by name. */
-    private final Map<String, Integer> tenants = new HashMap<>();
+    private final Map<String, Integer> tenantNumbers = new HashMap<>();
     /** Proven connections without a complete request in progress, the longest silent first. */
     private final Set<Connection> idleConnections = new LinkedHashSet<>();
     /** Connections that have not carried a valid request yet, the longest silent first. */
@@ -132,10 +132,10 @@
         this.lingering = new LingeringClose(loop, REQUEST_TIMEOUT_MS);
         this.settings = config.settings();
         for (int i = 0; i < settings.classes().size(); i++) {
-            classes.put(settings.classes().get(i).name(), i);
+            requestClassNumbers.put(settings.classes().get(i).name(), i);
         }
         for (int i = 0; i < settings.tenants().size(); i++) {
-            tenants.put(settings.tenants().get(i).name(), i);
+            tenantNumbers.put(settings.tenants().get(i).name(), i);
         }
         sockets.onRelease(() -> setAccepting(true));
     }
@@ -308,7 +308,7 @@
             throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "no X-Call-Id");
         }
         String name = firstPathSegment(request.uri());
-        Integer classNumber = classes.get(name);
+        Integer classNumber = requestClassNumbers.get(name);
         if (classNumber == null || !name.equals(headers.get("X-Call-Class", name))) {
             throw new RejectedException(HttpResponseStatus.BAD_REQUEST, "unknown class");
         }
@@ -324,7 +324,7 @@
         long budgetUs = numericHeader(headers, "X-Budget-Ms", requestClass.deadlineUs() / 1000) * 1000;
         return new Driver.Inbound(id, request.method(), request.uri(), key, null, null,
                 headers.get(HttpHeaderNames.CONTENT_TYPE), classNumber,
-                tenants.getOrDefault(headers.get("X-Caller"), 0), budgetUs,
+                tenantNumbers.getOrDefault(headers.get("X-Caller"), 0), budgetUs,
                 numericHeader(headers, "X-Call-Cost", 0), "1".equals(headers.get("X-Again")), 0);
     }
 
--- a/src/main/java/larkworks/proxy/LingeringClose.java
+++ b/src/main/java/larkworks/proxy/LingeringClose.java
@@ -73,9 +73,9 @@
         if (!channels.hasNext()) {
             return false;
         }
-        Channel longest = channels.next();
+        Channel longestLingering = channels.next();
         channels.remove();
-        longest.close();
+        longestLingering.close();
         return true;
     }
 
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -391,7 +391,7 @@
                     signalUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
             loop.schedule(() -> {
                 frontend.stopListening();
-                completeWhenIdle();
+                completeShutdownWhenIdle();
             }, ACCEPT_AFTER_SIGTERM_MS, TimeUnit.MILLISECONDS);
         });
         try {
@@ -410,7 +410,7 @@
      * Ends the shutdown once all requests have ended and all connections are closed, which each answer does
      * while the proxy drains, or once the time for large bodies is over.
      */
-    private void completeWhenIdle() {
+    private void completeShutdownWhenIdle() {
         frontend.closeUnusedConnections();
         boolean timedOut = driver.clock().nowUs() > driver.latestDeadlineUs() + LARGE_BODY_TIMEOUT_MS * 1000;
         if (timedOut) {
@@ -422,7 +422,7 @@
                     Invariants.Rule.NOTHING_LEFT, "", () -> clientUsage().toString());
             shutdownComplete.countDown();
         } else {
-            loop.schedule(this::completeWhenIdle, SHUTDOWN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::completeShutdownWhenIdle, SHUTDOWN_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -233,7 +233,7 @@
             }
             int connections = removedBackend.connections();
             for (int i = 0; i < 10; i++) {
-                serveByBackend(bench, 1 - removedIndex, "r" + i);
+                serveRequestAt(bench, 1 - removedIndex, "r" + i);
             }
             assertEquals(0, removedBackend.pendingMessages(),
                     "the removed backend must receive neither requests nor probes");
@@ -243,7 +243,7 @@
         }
     }
 
-    private static void serveByBackend(TestBench bench, int backend, String id) throws Exception {
+    private static void serveRequestAt(TestBench bench, int backend, String id) throws Exception {
         TestBench.Client client = bench.client().sendLook(id);
         StubServer.Message request = bench.backends.get(backend).next();
         while (request.line().startsWith("GET /stats")) {
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -278,10 +278,10 @@
         try (TestBench bench = new TestBench(0); FullBacklogServer backend = new FullBacklogServer()) {
             bench.drainGraceUs = 0;
             bench.connectTimeoutUs = 25_000_000;
-            String inService = TestBench.listJson(1, true,
+            String inServiceList = TestBench.listJson(1, true,
                     TestBench.entry("b", backend.address(), "in_service"));
-            bench.start(folder, inService);
-            bench.discovery.next().reply(200, inService);
+            bench.start(folder, inServiceList);
+            bench.discovery.next().reply(200, inServiceList);
             StubServer.Message watch = bench.discovery.next();
             TestBench.Client client = bench.client().sendLook("r");
             TestBench.Client readinessClient = bench.client();
@@ -307,10 +307,10 @@
         try (TestBench bench = new TestBench(0); FullBacklogServer backend = new FullBacklogServer()) {
             bench.connectTimeoutUs = 25_000_000;
             bench.drainGraceUs = 2_000_000;
-            String inService = TestBench.listJson(1, true,
+            String inServiceList = TestBench.listJson(1, true,
                     TestBench.entry("b", backend.address(), "in_service"));
-            bench.start(folder, inService);
-            bench.discovery.next().reply(200, inService);
+            bench.start(folder, inServiceList);
+            bench.discovery.next().reply(200, inServiceList);
             StubServer.Message watch = bench.discovery.next();
             TestBench.Client client = bench.client().sendLook("r");
             bench.awaitInputProcessed();
@@ -452,11 +452,11 @@
     void watchWaitStaysBelowNotificationLimit() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
             bench.discovery.next().reply(200, bench.fullList(1));
-            String watch = bench.discovery.next().line();
-            long waitMs = Long.parseLong(watch.replaceFirst(".*&wait=([0-9]+) .*", "$1"));
+            String watchLine = bench.discovery.next().line();
+            long waitMs = Long.parseLong(watchLine.replaceFirst(".*&wait=([0-9]+) .*", "$1"));
             long silenceTimeoutMs = 2_000;
             long retryPauseMs = 460;
-            assertTrue(waitMs + silenceTimeoutMs + retryPauseMs < 6_000, watch);
+            assertTrue(waitMs + silenceTimeoutMs + retryPauseMs < 6_000, watchLine);
         }
     }
 
--- a/src/test/java/larkworks/proxy/ResourceLimitTest.java
+++ b/src/test/java/larkworks/proxy/ResourceLimitTest.java
@@ -52,9 +52,9 @@
                 TestBench.Client client = bench.client().sendLook("r" + i);
                 bench.backends.get(0).next().reply(200, "");
                 assertEquals(200, client.status());
-                int nextSentBytes = i == 39 ? slowRequest.length() : slowRequest.length() * i / 40;
-                slowClient.send(slowRequest.substring(sentBytes, nextSentBytes));
-                sentBytes = nextSentBytes;
+                int targetSentBytes = i == 39 ? slowRequest.length() : slowRequest.length() * i / 40;
+                slowClient.send(slowRequest.substring(sentBytes, targetSentBytes));
+                sentBytes = targetSentBytes;
                 Thread.sleep(45);
             }
             bench.backends.get(0).next().reply(200, "at last");
@@ -87,19 +87,19 @@
                 }
             }
             long timeoutAtNs = System.nanoTime() + 1_000_000_000L;
-            int stillOpen = 0;
+            int openCount = 0;
             for (TestBench.Client unprovenClient : unprovenClients) {
                 unprovenClient.socket().setSoTimeout((int) Math.max(1,
                         (timeoutAtNs - System.nanoTime()) / 1_000_000));
                 try {
                     unprovenClient.in().read();
                 } catch (SocketTimeoutException e) {
-                    stillOpen++;
+                    openCount++;
                 } catch (SocketException e) {
                     // The proxy closed the connection without reading all its bytes.
                 }
             }
-            assertTrue(stillOpen * 60_000 <= 8 << 20, "connections with a buffered body: " + stillOpen);
+            assertTrue(openCount * 60_000 <= 8 << 20, "connections with a buffered body: " + openCount);
             TestBench.Client client = bench.client().sendLook("r");
             bench.backends.get(0).next().reply(200, "");
             assertEquals(200, client.status());
