--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -235,7 +235,7 @@
 
         @Override
         public void wakeAt(long atUs) {
-            // At least one tick later: with a time in the past the loop would otherwise spin.
+            // The timer runs at least one tick later, so that times in the past do not make the loop spin.
             long delayUs = Math.max(settings.tickUs(), atUs - clock.nowUs());
             loop.schedule(() -> runEvent(() -> balancer.timer(Math.max(atUs, clock.nowUs()))), delayUs,
                     TimeUnit.MICROSECONDS);
@@ -362,7 +362,7 @@
 
         @Override
         public void serverBudget(String server, long left, long untilMs) {
-            // Only to the newest module: two modules with the same tokens would spend them twice.
+            // Only the newest module gets the tokens: two modules with the same ones would spend them twice.
             runEvent(() -> newestModule.balancer.serverBudgetChanged(clock.nowUs(), server, left,
                     untilMs * 1000));
         }
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -369,7 +369,7 @@
      * long as they need: SIGKILL may come later than its earliest time.
      */
     void drainAndWait() {
-        // Read here and not on the loop, which may be busy and run the task late.
+        // The clock is read on this thread, as a busy loop may run the following task late.
         long signalUs = driver.clock().nowUs();
         loop.execute(() -> {
             if (!frontend.isListening() && fleetMember == null) {
--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -100,7 +100,7 @@
                 bench.configJson(port, bench.fullList(7)));
         Main main = new Main(Config.read(file.toString(), bench.environment, Map.of()));
         main.start();
-        // Queued in the event loop after the start of the warm-up and before its end, some iterations later.
+        // The event loop runs the drain after the warm-up has begun and before it ends, iterations later.
         CompletableFuture<Void> ended = CompletableFuture.runAsync(main::drainAndWait);
         int acceptedConnections = 0;
         while (!ended.isDone()) {
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -477,8 +477,8 @@
     }
 
     /**
-     * A call sooner after a failure would count as the continuation of the failed watch, and changes missed
-     * in between as notified.
+     * If the next call came sooner after a failure, it would count as the continuation of the failed watch,
+     * and changes missed in between would count as delivered.
      */
     @Test
     void doesNotRetryWhileFailedWatchCountsAsOpen() throws Exception {
