--- a/src/main/java/larkworks/Backend.java
+++ b/src/main/java/larkworks/Backend.java
@@ -22,7 +22,7 @@
     double subsetShare = 1;
     /** Whether its answers carry load reports. */
     boolean reportsLoad;
-    /** One plus the calls in flight by the load report of its latest answer. */
+    /** The number of calls in flight that it reported with its latest answer, plus one. */
     double answerLoad;
     long startedAtUs;
     /** When the operator ended its maintenance, usually after a restart; 0 where there was none. */
--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -70,7 +70,7 @@
     private static final double MAX_SLOWNESS = 20;
     /** A reported load changes the time to the next call at most by this factor, as reports are inexact. */
     private static final double MAX_LOAD_RATIO = 3;
-    /** The part of the load under which a cold server would fail that all copies together may send to it. */
+    /** The load that all copies may send to a cold server, as a part of the load at which it would fail. */
     private static final double COLD_LOAD_MARGIN = 0.6;
     /** A call is given up if its time left is below this quantile of the durations of calls. */
     private static final double FAST_QUANTILE = 0.3;
@@ -102,7 +102,7 @@
      * copies by chance.
      */
     private static final double TENANT_BURST_REQUESTS = 8;
-    /** The load in calls in flight that is assumed for a server that rejected a call as full. */
+    /** The number of calls in flight assumed at a server that rejected a call as full. */
     private static final int FULL_SERVER_LOAD_CALLS = 1000;
     /** Calls admitted for each call served in time; the excess over 1 is what congestion may waste. */
     private static final double ADMITTED_PER_SERVED = 1.5;
@@ -844,7 +844,7 @@
                 : Math.max(server.attemptsInFlight, (int) meanProbedLoad);
     }
 
-    /** Returns the calls in flight: this copy's own, or all copies' where a valid load report tells more. */
+    /** Returns the calls in flight: this copy's own count or, if higher, that of a valid load report. */
     private static int load(long nowUs, Backend server) {
         return server.reportedLoadUntilUs > nowUs ? Math.max(server.attemptsInFlight, server.reportedLoad)
                 : server.attemptsInFlight;
@@ -868,8 +868,8 @@
         if (idleA != idleB) {
             return idleA;
         }
-        // A server unreachable from this copy has none of its calls in flight. Counting its unanswered calls
-        // and probes as load keeps it from getting all calls that the other servers have no room for.
+        // A server that this copy cannot reach has none of the copy's calls in flight, so its load looks low.
+        // Counting unanswered calls and probes as load avoids sending it every call while others are busy.
         loadA += Math.min(EJECTION_UNANSWERED, a.unansweredProbes + a.unansweredCalls);
         loadB += Math.min(EJECTION_UNANSWERED, b.unansweredProbes + b.unansweredCalls);
         return loadA != loadB ? loadA < loadB : a.assignedAtUs < b.assignedAtUs;
@@ -1096,7 +1096,7 @@
         if (call == null || attempt >= call.attempts.size() || !call.attempts.get(attempt).isInFlight) {
             return;
         }
-        // The rest depends on the client's speed, so for the server and for the aim the call has ended.
+        // How fast the rest of the answer goes out depends on the client, so the measured duration ends here.
         Attempt streaming = call.attempts.get(attempt);
         streaming.isAnswering = true;
         streaming.endWork();
--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -53,7 +53,7 @@
     private static final long DOWNTIME_US = 5 * US_PER_S;
     /** One-way network delay. */
     private static final long NETWORK_DELAY_US = US_PER_MS / 2;
-    /** Requests that wait at a server at most, besides the one being processed. */
+    /** Maximum number of requests queued at a server, not counting the one being processed. */
     private static final int MAX_QUEUED_REQUESTS = 8;
     /** Low enough that copies probe servers before a call, where probes are allowed. */
     private static final double PROBE_PRICE = 0.002;
@@ -104,13 +104,13 @@
     private record SentWork(long atUs, double work) { }
 
     /**
-     * Load of one cold server.
+     * Load of one cold server. The worst window is the one with the highest ratio of sent to allowed work.
      *
-     * @param maxSentInWindow work sent in the window that has the highest ratio of sent work to allowed work
-     * @param budget budget of the server in that window
-     * @param windowEndAfterStartUs time from the server's start to the end of that window
-     * @param sentInFirstHalf work sent to it in the first half of its cold period
-     * @param possibleInFirstHalf work that it could do in that half
+     * @param maxSentInWindow work sent to the server in the worst window
+     * @param budget budget of the server in the worst window
+     * @param windowEndAfterStartUs time from the server's start to the end of the worst window
+     * @param sentInFirstHalf work sent to the server in the first half of its cold period
+     * @param possibleInFirstHalf work that the server could do in the first half of its cold period
      */
     record ColdServerLoad(String server, double maxSentInWindow, double budget, long windowEndAfterStartUs,
             double sentInFirstHalf, double possibleInFirstHalf) {
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -836,8 +836,8 @@
 
         @Test
         void prefersABusyServerToOneWithUnansweredProbes() {
-            // A partition of the zone makes more than half of the servers unreachable, so some of them are
-            // not ejected; those got every call that found the reachable servers busy.
+            // A partition of the zone makes more than half of the servers unreachable, too many to eject them
+            // all. Those not ejected got every call that was made while the reachable servers were busy.
             SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c");
             for (String unreachableServer : List.of("a", "b", "a", "b")) {
                 proxy.logic.probeResult(proxy.nowUs, unreachableServer, Outcome.TIMEOUT, 50 * US_PER_MS,
@@ -1211,7 +1211,7 @@
             busyProxy.logic.maintenanceChanged(busyProxy.nowUs, "a", true);
             busyProxy.advanceMs(1_000);
             busyProxy.logic.maintenanceChanged(busyProxy.nowUs, "a", false);
-            // The list reports the restart that took place during the maintenance only afterwards.
+            // The server restarted during the maintenance, but the list reports it only after its end.
             busyProxy.updateServer("a", busyProxy.nowUs - 500 * US_PER_MS, ServerStatus.UP);
             int callsToServer = 0;
             for (int i = 0; i < 40; i++) {
