--- a/src/main/java/larkworks/Balancer.java
+++ b/src/main/java/larkworks/Balancer.java
@@ -293,11 +293,11 @@
      * Reports that an attempt ended.
      *
      * @param elapsedUs the time since the attempt was sent in full
-     * @param ended true where the request ended with this outcome or before it
+     * @param requestEnded true where the request ended with this outcome or before it
      * @param report the load report that came with the answer, or null
      */
     void outcome(long nowUs, String request, int attempt, String server, Outcome outcome, long elapsedUs,
-            boolean ended, LoadReport report);
+            boolean requestEnded, LoadReport report);
 
     /**
      * Reports that a streamed answer began. From now on the answer is passed to the client, and no timeout
--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -164,7 +164,7 @@
     private double retryTokens = MAX_RETRY_TOKENS;
     private long wakeAtUs = Long.MAX_VALUE;
     private boolean hasServerList;
-    private boolean isWatching;
+    private boolean isWatchPending;
     private long discoveryQueryAtUs = Long.MAX_VALUE;
     private int discoveryFailures;
     /** The probes that their price allows for each call, and the probes saved up for later calls. */
@@ -241,7 +241,7 @@
             hasServerList = true;
             discoveryQueryAtUs = settings.watchesDiscovery() ? nowUs : Long.MAX_VALUE;
         } else if (settings.watchesDiscovery()) {
-            isWatching = true;
+            isWatchPending = true;
             discoveryFailures = 0;
             discoveryQueryAtUs = Long.MAX_VALUE;
         }
@@ -459,7 +459,7 @@
 
     @Override
     public void discoveryFailed(long nowUs) {
-        isWatching = false;
+        isWatchPending = false;
         long pauseUs = WATCH_RETRY_JITTER_US << Math.min(discoveryFailures++, 6);
         long maxPauseUs = settings.rules().maxDiscoveryIntervalUs() > 0
                 ? settings.rules().maxDiscoveryIntervalUs() / 4 : pauseUs;
@@ -932,7 +932,7 @@
 
     @Override
     public void outcome(long nowUs, String id, int attemptNumber, String server, Outcome outcome,
-            long elapsedUs, boolean ended, LoadReport report) {
+            long elapsedUs, boolean requestEnded, LoadReport report) {
         Call call = callsById.get(id);
         if (call == null || attemptNumber >= call.attempts.size()
                 || !call.attempts.get(attemptNumber).isInFlight) {
@@ -955,7 +955,7 @@
         if (outcome == Outcome.TIMEOUT && !attempt.isStalled) {
             recordUnansweredCall(nowUs, attempt.server);
         }
-        if (ended) {
+        if (requestEnded) {
             call.hasEnded = true;
             cancelAttempts(call);
         }
@@ -1243,7 +1243,7 @@
 
     /** Does the work that is due: queries discovery, handles stalled attempts, sends or ends queued calls. */
     private void runDueWork(long nowUs) {
-        if (discoveryQueryAtUs <= nowUs && !isWatching) {
+        if (discoveryQueryAtUs <= nowUs && !isWatchPending) {
             discoveryQueryAtUs = Long.MAX_VALUE;
             actions.watchServers();
         }
--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -20,10 +20,10 @@
 
     /** Sends a request, answers its probes with a load of 0 and ends its attempt successfully after 50 ms. */
     private static void serveRequest(SimulatedProxy proxy) {
-        int actionsBefore = proxy.recordedActions.size();
-        String request = proxy.sendRequest(SimulatedProxy.SAFE);
+        int nextActionIndex = proxy.recordedActions.size();
+        String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
         for (String action : List.copyOf(
-                proxy.recordedActions.subList(actionsBefore, proxy.recordedActions.size()))) {
+                proxy.recordedActions.subList(nextActionIndex, proxy.recordedActions.size()))) {
             if (action.startsWith("probe ")) {
                 proxy.answerProbe(action.substring("probe ".length()), 0);
             }
--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -255,12 +255,12 @@
             } else {
                 queue.add(attempt);
                 if (queue.size() == 1) {
-                    startNext();
+                    processNextAttempt();
                 }
             }
         }
 
-        private void startNext() {
+        private void processNextAttempt() {
             Attempt attempt = queue.peek();
             double seconds = attempt.work / scenario.capacityPerSecond() / capacityShare(startedAtUs, nowUs);
             scheduleAt(nowUs + (long) (seconds * US_PER_S), () -> {
@@ -268,7 +268,7 @@
                     queue.poll();
                     attempt.end(Outcome.OK);
                     if (!queue.isEmpty()) {
-                        startNext();
+                        processNextAttempt();
                     }
                 }
             });
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -41,7 +41,7 @@
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
             Set<String> usedServers = new HashSet<>();
             for (int i = 0; i < 3; i++) {
-                usedServers.add(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+                usedServers.add(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
             }
             assertEquals(Set.of("a", "b", "c"), usedServers);
         }
@@ -49,13 +49,13 @@
         @Test
         void picksTheServerWithFewestInFlightWhenNoneIsIdle() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
-            String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE);
-            proxy.sendRequest(SimulatedProxy.SAFE);
-            proxy.sendRequest(SimulatedProxy.SAFE);
-            proxy.sendRequest(SimulatedProxy.SAFE);
+            String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
+            proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
+            proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
+            proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             proxy.endAttempt(firstRequest, Outcome.OK);
             String freedServer = proxy.latestServer(firstRequest);
-            assertEquals(freedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            assertEquals(freedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
         }
 
         @Test
@@ -82,7 +82,7 @@
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 String server = proxy.latestServer(request);
                 callsByServer.merge(server, 1, Integer::sum);
                 proxy.advanceMs(100);
@@ -114,7 +114,7 @@
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 String server = proxy.latestServer(request);
                 callsByServer.merge(server, 1, Integer::sum);
                 proxy.advanceMs(50);
@@ -142,15 +142,15 @@
         @Test
         void actionsDependOnlyOnEventsAndSeedNotOnOtherInstances() {
             SimulatedProxy proxyAlone = new SimulatedProxy(testSettings(), 3).withServers("a", "b", "c");
-            SimulatedProxy proxyBesideOther =
+            SimulatedProxy interleavedProxy =
                     new SimulatedProxy(testSettings(), 3).withServers("a", "b", "c");
             SimulatedProxy otherProxy = new SimulatedProxy(testSettings(), 4).withServers("a", "b", "c");
             for (int i = 0; i < 50; i++) {
                 proxyAlone.serveRequest();
-                otherProxy.sendRequest(SimulatedProxy.UNSAFE);
-                proxyBesideOther.serveRequest();
+                otherProxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
+                interleavedProxy.serveRequest();
             }
-            assertEquals(proxyAlone.recordedActions, proxyBesideOther.recordedActions);
+            assertEquals(proxyAlone.recordedActions, interleavedProxy.recordedActions);
         }
     }
 
@@ -222,28 +222,28 @@
             for (int i = 0; i < 3; i++) {
                 proxy.serveRequest();
             }
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             String failedServer = proxy.latestServer(request);
             proxy.endAttempt(request, Outcome.CONNECT_FAILED);
             proxy.endAttempt(request, Outcome.OK);
-            assertNotEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
-            assertNotEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
-            assertEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            assertNotEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
+            assertNotEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
+            assertEquals(failedServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
         }
 
         @Test
         void ejectsAServerAfterConsecutiveFailuresAndUsesItAgainLater() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
             for (int i = 0; i < 2; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 assertEquals("a", proxy.latestServer(request));
                 proxy.endAttempt(request, Outcome.CONNECT_FAILED);
                 proxy.advanceMs(1_000);
             }
-            String waitingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            String waitingRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             assertNull(proxy.latestServer(waitingRequest));
             proxy.advanceMs(4_000);
-            assertEquals("a", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+            assertEquals("a", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
         }
 
         @Test
@@ -252,12 +252,12 @@
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
             long[] ejectionsUs = new long[2];
             for (int i = 0; i < 5; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 long requestedAtUs = proxy.nowUs;
                 while (proxy.latestServer(request) == null) {
                     proxy.advanceMs(100);
-                    request = proxy.latestServer(request) == null ? proxy.sendRequest(SimulatedProxy.SAFE)
-                            : request;
+                    request = proxy.latestServer(request) == null
+                            ? proxy.sendRequest(SimulatedProxy.SAFE_CLASS) : request;
                 }
                 if (i >= 3) {
                     ejectionsUs[i - 3] = proxy.nowUs - requestedAtUs;
@@ -270,7 +270,7 @@
         @Test
         void callWaitsWithoutServersAndFailsNearItsDeadline() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers();
-            String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+            String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
             proxy.advanceMs(2_000);
             assertEquals(List.of("fail " + request), proxy.recordedActions);
         }
@@ -278,10 +278,10 @@
         @Test
         void sendsAWaitingCallWhenAServerIsAdded() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers();
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             proxy.updateServer("a", 0, ServerStatus.UP);
             proxy.advanceMs(390);
-            String secondRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            String secondRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             proxy.advanceMs(390);
             assertTrue("a".equals(proxy.latestServer(request))
                     || "a".equals(proxy.latestServer(secondRequest)));
@@ -293,7 +293,7 @@
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             int failedCalls = 0;
             for (int i = 0; i < 200; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
                 proxy.advanceMs(20);
                 boolean isFailingServer = "a".equals(proxy.latestServer(request));
                 failedCalls += isFailingServer ? 1 : 0;
@@ -307,7 +307,7 @@
             // A failing tier below causes errors at every server; ejecting servers would only cost capacity.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
                 assertNotNull(proxy.latestServer(request));
                 proxy.advanceMs(20);
                 proxy.endAttempt(request, Outcome.ERROR);
@@ -327,7 +327,7 @@
             }
             int lostCalls = 0;
             for (int i = 0; i < 40; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
                 if ("a".equals(proxy.latestServer(request))) {
                     lostCalls++;
                     proxy.advanceMs(1_000);
@@ -348,7 +348,7 @@
         @Test
         void failsBeforeTheDeadlineWhenNoServerIsKnown() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers();
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             proxy.advanceMs(1_000);
             assertEquals(1, proxy.countActions("fail " + request) + proxy.countActions("refuse " + request));
             proxy.updateServer("a", 0, ServerStatus.UP);
@@ -359,7 +359,7 @@
         @Test
         void answersOnceAfterATimeoutAtTheDeadline() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
-            String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+            String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
             proxy.advanceMs(1_000);
             proxy.endAttempt(request, Outcome.TIMEOUT);
             proxy.advanceMs(1_000);
@@ -370,7 +370,7 @@
         @Test
         void givesNoAnswerAfterTheClientHasDisconnected() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             proxy.logic.clientGone(proxy.nowUs, request);
             proxy.endAttempt(request, Outcome.ERROR);
             proxy.advanceMs(2_000);
@@ -383,17 +383,17 @@
         void ignoresEventsForUnknownOrEndedRequests() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
             proxy.serveRequest();
-            int actionsBefore = proxy.recordedActions.size();
+            int actionCountBefore = proxy.recordedActions.size();
             proxy.logic.clientGone(proxy.nowUs, "r0");
             proxy.logic.outcome(proxy.nowUs, "r0", 0, "a", Outcome.OK, 1, true, null);
             proxy.logic.outcome(proxy.nowUs, "unknown", 3, "a", Outcome.ERROR, 1, false, null);
-            assertEquals(actionsBefore, proxy.recordedActions.size());
+            assertEquals(actionCountBefore, proxy.recordedActions.size());
         }
 
         @Test
         void doesNotSendARequestWhoseClientLeftWhileItWaited() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers();
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             proxy.logic.clientGone(proxy.nowUs, request);
             proxy.updateServer("a", 0, ServerStatus.UP);
             proxy.advanceMs(2_000);
@@ -412,7 +412,7 @@
                     continue;
                 }
                 SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
-                String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
                 proxy.endAttempt(request, outcome);
                 assertEquals(outcome.provesNotRun ? 2 : 1, proxy.countActions("send " + request),
                         outcome.name());
@@ -429,7 +429,7 @@
             settings.canHedge = true;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
             proxy.serveRequest();
-            String request = proxy.sendRequest(SimulatedProxy.UNSAFE);
+            String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
             proxy.advanceMs(900);
             assertEquals(1, proxy.countActions("send " + request));
         }
@@ -441,7 +441,7 @@
                 settings.canHedge = canHedge;
                 SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
                 proxy.serveRequest();
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(300);
                 assertEquals(canHedge ? 2 : 1, proxy.countActions("send " + request));
                 if (canHedge) {
@@ -454,7 +454,7 @@
         @Test
         void keyedCallIsRetriedOnlyWithinItsZone() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
-            String request = proxy.sendRequest(SimulatedProxy.KEYED_IN_ZONE);
+            String request = proxy.sendRequest(SimulatedProxy.KEYED_IN_ZONE_CLASS);
             String firstServer = proxy.latestServer(request);
             proxy.endAttempt(request, Outcome.ERROR);
             assertEquals("ab".contains(firstServer), "ab".contains(proxy.latestServer(request)));
@@ -470,7 +470,7 @@
             SimulatedProxy.TestSettings settings = testSettings();
             settings.aimUs = 1_000 * US_PER_MS;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b");
-            String request = proxy.sendRequest(SimulatedProxy.KEYED);
+            String request = proxy.sendRequest(SimulatedProxy.KEYED_CLASS);
             proxy.advanceMs(601);
             proxy.endAttempt(request, Outcome.ERROR);
             assertEquals(1, proxy.countActions("send " + request));
@@ -481,7 +481,7 @@
             SimulatedProxy.TestSettings settings = testSettings();
             settings.aimUs = 950 * US_PER_MS;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a");
-            String request = proxy.sendRequest(SimulatedProxy.KEYED);
+            String request = proxy.sendRequest(SimulatedProxy.KEYED_CLASS);
             proxy.advanceMs(50);
             proxy.endAttempt(request, Outcome.RESET);
             assertEquals(1, proxy.attemptCounts.get(request), "no other server is known yet");
@@ -497,7 +497,7 @@
         void retriesStayWithinTheRetryBudget() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 while (proxy.countActions("fail " + request) + proxy.countActions("refuse " + request) == 0) {
                     proxy.endAttempt(request, Outcome.ERROR);
                 }
@@ -510,7 +510,7 @@
         void attemptsStayWithinMaxAttempts() {
             SimulatedProxy proxy =
                     new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d", "e", "f");
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             while (proxy.countActions("fail " + request) + proxy.countActions("refuse " + request) == 0) {
                 proxy.endAttempt(request, Outcome.FULL);
             }
@@ -531,7 +531,7 @@
                     new Server("a", 0, 0, 0, 1, ServerStatus.DRAINING), new Server("d", 0, 0, 0,
                             1, ServerStatus.UP)));
             for (int i = 0; i < 10; i++) {
-                assertEquals("d", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
+                assertEquals("d", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
                 proxy.advanceMs(20);
                 proxy.endAttempt("r" + i, Outcome.OK);
             }
@@ -674,7 +674,7 @@
         void probesTwoServersAndUsesTheFirstFoundIdle() {
             SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
             proxy.answerProbe("d", 3);
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             assertEquals(2, proxy.countActions("probe"));
             assertNull(proxy.latestServer(request));
             String busyServer = proxy.recordedActions.get(0).substring(6);
@@ -694,7 +694,7 @@
                     new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d", "e", "f", "g", "h");
             for (int i = 0; i < 60; i++) {
                 int nextActionIndex = proxy.recordedActions.size();
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 for (int elapsedMs = 0; elapsedMs < 20; elapsedMs++) {
                     proxy.advanceMs(1);
                     for (; nextActionIndex < proxy.recordedActions.size(); nextActionIndex++) {
@@ -720,7 +720,7 @@
             // Under light load the first probed server is nearly always idle, so a second probe is
             // wasted cost.
             SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             assertEquals(1, proxy.countActions("probe"));
             String probedServer = proxy.recordedActions.get(0).substring(6);
             proxy.nowUs += US_PER_MS;
@@ -733,7 +733,7 @@
             SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers(servers);
             for (int i = 0; i < 12; i++) {
                 int nextActionIndex = proxy.recordedActions.size();
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(1);
                 for (; nextActionIndex < proxy.recordedActions.size(); nextActionIndex++) {
                     if (proxy.recordedActions.get(nextActionIndex).startsWith("probe")) {
@@ -756,20 +756,20 @@
                         new LoadReport(0, 0, 0));
             }
             proxy.advanceMs(2_000);
-            String requestDuringSlowProbes = proxy.sendRequest(SimulatedProxy.SAFE);
+            String requestDuringSlowProbes = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             assertNotNull(proxy.latestServer(requestDuringSlowProbes),
                     "a call must not wait for slow probes");
             proxy.endAttempt(requestDuringSlowProbes, Outcome.OK);
             int nextActionIndex = proxy.recordedActions.size();
             for (int i = 0; i < 40; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(1);
                 answerProbes(proxy, nextActionIndex, 0, "");
                 nextActionIndex = proxy.recordedActions.size();
                 proxy.advanceMs(300);
                 proxy.endAttempt(request, Outcome.OK);
             }
-            assertNull(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+            assertNull(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)),
                     "the call must wait for the answer to its probe");
         }
 
@@ -790,7 +790,7 @@
             // all the same, as it was still the least recently assigned one.
             SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
             int nextActionIndex = proxy.recordedActions.size();
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             String probedServer = proxy.recordedActions.get(nextActionIndex).substring(6);
             proxy.advanceMs(50);
             assertNotNull(proxy.latestServer(request));
@@ -807,7 +807,7 @@
             }
             for (int i = 0; i < 6; i++) {
                 int nextActionIndex = proxy.recordedActions.size();
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(5);
                 answerProbes(proxy, nextActionIndex, 0, "a");
                 proxy.advanceMs(5);
@@ -826,7 +826,7 @@
             int probesBefore = proxy.countActions("probe a");
             for (int i = 0; i < 8; i++) {
                 int nextActionIndex = proxy.recordedActions.size();
-                proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(5);
                 answerProbes(proxy, nextActionIndex, 0, "");
                 proxy.advanceMs(5);
@@ -844,7 +844,7 @@
                         null);
             }
             int nextActionIndex = proxy.recordedActions.size();
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             for (int i = 0; i < 4; i++) {
                 proxy.advanceMs(2);
                 answerProbes(proxy, nextActionIndex, 1, "a b");
@@ -864,7 +864,7 @@
             List<String> sentRequests = new ArrayList<>();
             List<String> waitingRequests = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 (proxy.latestServer(request) == null ? waitingRequests : sentRequests).add(request);
             }
             assertTrue(waitingRequests.size() > 1, "waiting calls: " + waitingRequests);
@@ -891,7 +891,7 @@
         @Test
         void sendsTheCallEvenIfNoProbeIsAnswered() {
             SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             proxy.advanceMs(50);
             assertNotNull(proxy.latestServer(request));
         }
@@ -911,7 +911,7 @@
                 proxy.serveRequest();
             }
             for (int i = 0; i < 60; i++) {
-                proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             }
             int sendsAtOnce = proxy.countActions("send") - 10;
             assertTrue(sendsAtOnce < 12, "sent at once: " + sendsAtOnce);
@@ -928,7 +928,7 @@
             settings.tenantQuotaPerSecond = 3;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
             for (int i = 0; i < 30; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE, 1);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS, 1);
                 for (String server : List.of("a", "b", "c")) {
                     proxy.answerProbe(server, 0);
                 }
@@ -945,14 +945,14 @@
             settings.tenantQuotaPerSecond = 3;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c", "d");
             for (int i = 0; i < 60; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.UNSAFE, i < 30 ? 0 : 1);
+                String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS, i < 30 ? 0 : 1);
                 if (proxy.latestServer(request) != null) {
                     proxy.endAttempt(request, Outcome.ERROR);
                 }
                 proxy.advanceMs(i < 30 ? 30 : 1);
             }
             for (int i = 0; i < 1_500; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(1);
                 if (proxy.latestServer(request) != null) {
                     proxy.endAttempt(request, Outcome.OK);
@@ -960,7 +960,7 @@
             }
             int sentCalls = 0;
             for (int i = 0; i < 5; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE, 1);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS, 1);
                 proxy.advanceMs(1);
                 if (proxy.latestServer(request) != null) {
                     sentCalls++;
@@ -978,7 +978,7 @@
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b");
             int sentCalls = 0;
             for (int i = 0; i < 60; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE, 1);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS, 1);
                 proxy.advanceMs(10);
                 if (proxy.latestServer(request) != null) {
                     sentCalls++;
@@ -991,7 +991,7 @@
                     "sent of 60 in 0.6 s, with a quota of 10 per second for this copy: " + sentCalls);
             assertNotNull(proxy.serveRequest(), "requests of other tenants are served as before");
             proxy.advanceMs(2_000);
-            assertNotNull(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE, 1)),
+            assertNotNull(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS, 1)),
                     "after a pause the quota has refilled");
         }
 
@@ -1000,14 +1000,14 @@
             // Servers worked on calls whose callers had gone, and each further call kept the congestion up.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(100);
             }
             int sentCalls = proxy.serversByRequest.size();
             assertTrue(sentCalls < 40, "calls sent of 100, none served: " + sentCalls);
             assertEquals(1, proxy.countActions("log congestion:"));
             for (int i = 0; i < 100; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(100);
                 if (proxy.latestServer(request) != null) {
                     proxy.endAttempt(request, Outcome.OK);
@@ -1026,7 +1026,7 @@
             // Clients that disconnect early were counted as calls that the servers had served too slowly.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
-                String abandonedRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+                String abandonedRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(20);
                 proxy.logic.clientGone(proxy.nowUs, abandonedRequest);
                 proxy.endAttempt(abandonedRequest, Outcome.CANCELLED);
@@ -1042,8 +1042,9 @@
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 25; i++) {
                 List<String> abandonedRequests =
-                        List.of(proxy.sendRequest(SimulatedProxy.SAFE),
-                        proxy.sendRequest(SimulatedProxy.SAFE), proxy.sendRequest(SimulatedProxy.SAFE));
+                        List.of(proxy.sendRequest(SimulatedProxy.SAFE_CLASS),
+                        proxy.sendRequest(SimulatedProxy.SAFE_CLASS),
+                        proxy.sendRequest(SimulatedProxy.SAFE_CLASS));
                 proxy.advanceMs(500);
                 abandonedRequests.forEach(request -> proxy.logic.clientGone(proxy.nowUs, request));
             }
@@ -1057,15 +1058,15 @@
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             List<String> failedRequests = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                failedRequests.add(proxy.sendRequest(SimulatedProxy.UNSAFE));
+                failedRequests.add(proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS));
             }
             proxy.advanceMs(500);
             failedRequests.forEach(request -> proxy.endAttempt(request, Outcome.ERROR));
-            proxy.sendRequest(SimulatedProxy.SAFE);
+            proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             assertEquals(1, proxy.countActions("log congestion:"));
             proxy.advanceMs(2_000);
             for (int i = 0; i < 20; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 assertNotNull(proxy.latestServer(request),
                         "refused " + 2 * (i + 1) + " s after the failures");
                 proxy.advanceMs(2_000);
@@ -1077,19 +1078,19 @@
         void longCallsDoNotRaiseTheEstimatedSlownessOfTheirServer() {
             // Slow servers got only long calls, so they were estimated as slower still and were half idle.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
-            String blockingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            String blockingRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             String idleServer = proxy.latestServer(blockingRequest).equals("a") ? "b" : "a";
             for (int i = 0; i < 200; i++) {
                 // While one server is busy, the other gets every call: a only long calls, b only short ones.
-                String request = proxy.sendRequest(idleServer.equals("a") ? SimulatedProxy.UNSAFE
-                        : SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(idleServer.equals("a") ? SimulatedProxy.UNSAFE_CLASS
+                        : SimulatedProxy.SAFE_CLASS);
                 assertEquals(idleServer, proxy.latestServer(request));
                 long durationMs = idleServer.equals("a") ? 90 : 30;
                 proxy.advanceMs(durationMs);
                 proxy.logic.outcome(proxy.nowUs, request, 0, idleServer, Outcome.OK, durationMs * US_PER_MS,
                         true, null);
                 if (i % 10 == 9) {
-                    String nextBlockingRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+                    String nextBlockingRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                     assertEquals(idleServer, proxy.latestServer(nextBlockingRequest));
                     proxy.logic.outcome(proxy.nowUs, blockingRequest, 0, proxy.latestServer(blockingRequest),
                             Outcome.OK, 30 * US_PER_MS, true, null);
@@ -1098,12 +1099,12 @@
                 }
             }
             proxy.endAttempt(blockingRequest, Outcome.OK);
-            int actionsBefore = proxy.recordedActions.size();
+            int nextActionIndex = proxy.recordedActions.size();
             for (int i = 0; i < 40; i++) {
-                proxy.sendRequest(SimulatedProxy.SAFE);
+                proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             }
             List<String> sendActions =
-                    proxy.recordedActions.subList(actionsBefore, proxy.recordedActions.size());
+                    proxy.recordedActions.subList(nextActionIndex, proxy.recordedActions.size());
             long callsToA = sendActions.stream().filter(action -> action.matches("send r\\d+ a .*")).count();
             long callsToB = sendActions.stream().filter(action -> action.matches("send r\\d+ b .*")).count();
             assertTrue(callsToA * 2 > callsToB, "calls sent to a: " + callsToA + ", to b: " + callsToB);
@@ -1119,13 +1120,13 @@
             }
             long timeLeftUs = 600 * US_PER_MS;
             proxy.logic.request(proxy.nowUs,
-                    new Request("first", SimulatedProxy.SAFE, 0, timeLeftUs, 0, false));
+                    new Request("first", SimulatedProxy.SAFE_CLASS, 0, timeLeftUs, 0, false));
             proxy.logic.request(proxy.nowUs,
-                    new Request("again", SimulatedProxy.SAFE, 0, timeLeftUs, 0, true));
+                    new Request("again", SimulatedProxy.SAFE_CLASS, 0, timeLeftUs, 0, true));
             proxy.logic.request(proxy.nowUs,
-                    new Request("soon", SimulatedProxy.SAFE, 0, 900 * US_PER_MS, 0, true));
+                    new Request("soon", SimulatedProxy.SAFE_CLASS, 0, 900 * US_PER_MS, 0, true));
             proxy.logic.request(proxy.nowUs,
-                    new Request("late", SimulatedProxy.SAFE, 0, 500 * US_PER_MS, 0, true));
+                    new Request("late", SimulatedProxy.SAFE_CLASS, 0, 500 * US_PER_MS, 0, true));
             assertNotNull(proxy.latestServer("first"));
             assertNotNull(proxy.latestServer("again"),
                     "a retry with its full time left does not show when the first try arrived");
@@ -1138,7 +1139,7 @@
         void slowPeriodDoesNotMakeLaterCallsLookUnservable() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             for (int i = 0; i < 40; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(900);
                 if (proxy.latestServer(request) != null) {
                     proxy.logic.outcome(proxy.nowUs, request, 0, proxy.latestServer(request), Outcome.OK,
@@ -1147,7 +1148,7 @@
             }
             int sendsBefore = proxy.countActions("send");
             for (int i = 0; i < 300; i++) {
-                String request = proxy.sendRequest(SimulatedProxy.SAFE);
+                String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
                 proxy.advanceMs(50);
                 if (proxy.latestServer(request) != null) {
                     proxy.endAttempt(request, Outcome.OK);
@@ -1223,7 +1224,7 @@
 
         @Test
         void retriesAvoidAServerInMaintenance() {
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             String server = proxy.latestServer(request);
             proxy.logic.maintenanceChanged(proxy.nowUs, server, true);
             proxy.endAttempt(request, Outcome.NOT_SENT);
@@ -1274,7 +1275,7 @@
         @Test
         void oneSlowFirstCallDoesNotMakeLaterCallsLookUnservable() {
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c");
-            String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+            String firstRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             proxy.advanceMs(410);
             proxy.logic.outcome(proxy.nowUs, firstRequest, 0, proxy.latestServer(firstRequest), Outcome.OK,
                     410 * US_PER_MS, true, null);
@@ -1295,13 +1296,13 @@
 
         private String sendUpload() {
             proxy.logic.request(proxy.nowUs,
-                    new Request("up", SimulatedProxy.UNSAFE, 0, 1_000 * US_PER_MS, 0, false, true));
+                    new Request("up", SimulatedProxy.UNSAFE_CLASS, 0, 1_000 * US_PER_MS, 0, false, true));
             return proxy.latestServer("up");
         }
 
         private Set<String> serversOfTwoMoreRequests() {
-            return new HashSet<>(List.of(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
-                    proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE))));
+            return new HashSet<>(List.of(proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)),
+                    proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS))));
         }
 
         /** Serves 20 calls so that both servers are known to take 50 ms per call. */
@@ -1340,7 +1341,7 @@
             String server = sendUpload();
             proxy.advanceMs(20_000);
             proxy.logic.uploadCompleted(proxy.nowUs, "up");
-            String otherServer = proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE));
+            String otherServer = proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS));
             assertNotEquals(server, otherServer, "the server works on the uploaded request now");
             proxy.advanceMs(900);
             proxy.endAttempt("up", Outcome.TIMEOUT);
@@ -1366,7 +1367,7 @@
         @Test
         void serverOfAStreamedAnswerCountsAsIdleAndTheAnswerNeverTimesOut() {
             serveCallsToMeasureDurations();
-            String request = proxy.sendRequest(SimulatedProxy.SAFE);
+            String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             String server = proxy.latestServer(request);
             proxy.advanceMs(50);
             proxy.logic.streamStarted(proxy.nowUs, request, 0, server, 50 * US_PER_MS);
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -40,21 +40,21 @@
         String firstServer = proxy.serveRequest();
         String secondServer = proxy.serveRequest();
         proxy.logic.peerVerdict(proxy.nowUs, firstServer, Verdict.RESTS, proxy.nowUs + 500 * US_PER_MS);
-        assertEquals(secondServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
-        assertEquals(firstServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+        assertEquals(secondServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
+        assertEquals(firstServer, proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)),
                 "demoted, not ejected: it is used as the other server is busy");
     }
 
     @Test
     void publishesDemotionAfterConnectFailureAndWithdrawsItAfterRecovery() {
         SimulatedProxy proxy = proxyWithServers("a", "b", "c");
-        String request = proxy.sendRequest(SimulatedProxy.SAFE);
+        String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
         String server = proxy.latestServer(request);
         proxy.endAttempt(request, Outcome.CONNECT_FAILED);
         assertTrue(proxy.hasAction("verdict " + server + " DEMOTED"));
-        String secondRequest = proxy.sendRequest(SimulatedProxy.SAFE);
-        String thirdRequest = proxy.sendRequest(SimulatedProxy.SAFE);
-        String fourthRequest = proxy.sendRequest(SimulatedProxy.SAFE);
+        String secondRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
+        String thirdRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
+        String fourthRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
         for (String laterRequest : List.of(secondRequest, thirdRequest, fourthRequest)) {
             proxy.endAttempt(laterRequest, Outcome.OK);
         }
@@ -80,24 +80,25 @@
     @Test
     void requestsBeyondTheBudgetOfTheirClassAreRefusedAtOnce() {
         SimulatedProxy proxy = proxyWithServers("a", "b");
-        proxy.logic.classBudgetChanged(proxy.nowUs, SimulatedProxy.SAFE, 1, proxy.nowUs + 1_000 * US_PER_MS);
+        proxy.logic.classBudgetChanged(proxy.nowUs, SimulatedProxy.SAFE_CLASS, 1,
+                proxy.nowUs + 1_000 * US_PER_MS);
         proxy.serveRequest();
         int refusedBefore = proxy.countActions("refuse");
-        proxy.sendRequest(SimulatedProxy.SAFE);
+        proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
         assertEquals(refusedBefore + 1, proxy.countActions("refuse"));
         assertTrue(proxy.hasAction("class 0 short"));
-        assertNotEquals(null, proxy.latestServer(proxy.sendRequest(SimulatedProxy.UNSAFE)),
+        assertNotEquals(null, proxy.latestServer(proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS)),
                 "no budget is set for the other class");
     }
 
     @Test
     void classUsesItsAffineServersWhileOneOfThemIsIdle() {
         SimulatedProxy proxy = proxyWithServers("a", "b", "c", "d");
-        proxy.logic.affinityChanged(proxy.nowUs, SimulatedProxy.SAFE, List.of("c"));
+        proxy.logic.affinityChanged(proxy.nowUs, SimulatedProxy.SAFE_CLASS, List.of("c"));
         assertEquals("c", proxy.serveRequest());
         assertEquals("c", proxy.serveRequest());
-        assertEquals("c", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)));
-        assertNotEquals("c", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE)),
+        assertEquals("c", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)));
+        assertNotEquals("c", proxy.latestServer(proxy.sendRequest(SimulatedProxy.SAFE_CLASS)),
                 "its server is busy with a call of this copy");
     }
 }
--- a/src/test/java/larkworks/SimulatedProxy.java
+++ b/src/test/java/larkworks/SimulatedProxy.java
@@ -23,10 +23,10 @@
 final class SimulatedProxy implements Actions {
 
     static final long US_PER_MS = 1000;
-    static final int SAFE = 0;
-    static final int UNSAFE = 1;
-    static final int KEYED = 2;
-    static final int KEYED_IN_ZONE = 3;
+    static final int SAFE_CLASS = 0;
+    static final int UNSAFE_CLASS = 1;
+    static final int KEYED_CLASS = 2;
+    static final int KEYED_IN_ZONE_CLASS = 3;
 
     /** The settings that tests vary, with their default values. */
     static final class TestSettings {
@@ -129,7 +129,7 @@
 
     /** Sends a safe request, ends it successfully after 50 ms and returns the server that got it. */
     String serveRequest() {
-        String request = sendRequest(SAFE);
+        String request = sendRequest(SAFE_CLASS);
         String server = latestServer(request);
         advanceMs(50);
         endAttempt(request, Outcome.OK);
