--- a/src/main/java/larkworks/Call.java
+++ b/src/main/java/larkworks/Call.java
@@ -25,7 +25,7 @@
     /** Whether the call was already counted as served in time or not, or must not be counted. */
     boolean isCounted;
     boolean isBeyondQuota;
-    /** Whether the call was queued for a server; it is then sent only if it is likely to be in time. */
+    /** Whether the call was queued for a server; then it is sent only if an answer in time is likely. */
     boolean wasQueued;
     int probeRounds;
     /** Until when the call waits for the answers to its probes. */
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Ends the call as its client has gone. Where that happens before an answer lost its worth, the call is
-     * not counted: the servers might still have answered in time.
+     * Ends the call because its client disconnected. If an answer would still have been useful, the call is
+     * not counted: the servers might have answered in time.
      */
     void clientLeft(long nowUs) {
         hasEnded = true;
--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -76,7 +76,7 @@
     private static final double FAST_QUANTILE = 0.3;
     /** The mean duration of calls is capped at this multiple of the quantile {@link #FAST_QUANTILE}. */
     private static final double MAX_MEAN_TO_FAST_RATIO = 2;
-    /** A queued call is sent only with this multiple of the mean duration left: else half would be late. */
+    /** A queued call needs this multiple of the mean duration left: else half would be answered too late. */
     private static final double QUEUED_CALL_MARGIN = 1.4;
     /** The relative step by which the estimate of {@link #FAST_QUANTILE} moves with each answer. */
     private static final double FAST_QUANTILE_STEP = 0.05;
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -856,7 +856,7 @@
 
         @Test
         void waitingCallsKeepTheirOrderAndLikelyLateOnesAreNotSent() {
-            // Under overload each waiting call was sent just before its deadline, so most answers were late.
+            // Under overload each queued call was sent just before its deadline; most answers came too late.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
             for (int i = 0; i < 12; i++) {
                 proxy.serveRequest();
