--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -1096,7 +1096,8 @@
         if (call == null || attempt >= call.attempts.size() || !call.attempts.get(attempt).isInFlight) {
             return;
         }
-        // How fast the rest of the answer goes out depends on the client, so the measured duration ends here.
+        // The rest of the answer is sent at the client's speed. So the server's work on the call ends here,
+        // and so does the latency that is compared with the aim.
         Attempt streaming = call.attempts.get(attempt);
         streaming.isAnswering = true;
         streaming.endWork();
