--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -70,13 +70,13 @@
     private static final double MAX_SLOWNESS = 20;
     /** A reported load changes the time to the next call at most by this factor, as reports are inexact. */
     private static final double MAX_LOAD_RATIO = 3;
-    /** The part of the load under which a cold server would fail that all copies together may send to it. */
+    /** The load that all copies may send to a cold server, as a part of the load at which it would fail. */
     private static final double COLD_LOAD_MARGIN = 0.6;
     /** A call is given up if its time left is below this quantile of the durations of calls. */
     private static final double FAST_QUANTILE = 0.3;
     /** The mean duration of calls is capped at this multiple of the quantile {@link #FAST_QUANTILE}. */
     private static final double MAX_MEAN_TO_FAST_RATIO = 2;
-    /** A queued call is sent only with this multiple of the mean duration left: else half would be late. */
+    /** A queued call needs this multiple of the mean duration left: else half would be answered too late. */
     private static final double QUEUED_CALL_MARGIN = 1.4;
     /** The relative step by which the estimate of {@link #FAST_QUANTILE} moves with each answer. */
     private static final double FAST_QUANTILE_STEP = 0.05;
@@ -102,7 +102,7 @@
      * copies by chance.
      */
     private static final double TENANT_BURST_REQUESTS = 8;
-    /** The load in calls in flight that is assumed for a server that rejected a call as full. */
+    /** The number of calls in flight assumed at a server that rejected a call as full. */
     private static final int FULL_SERVER_LOAD_CALLS = 1000;
     /** Calls admitted for each call served in time; the excess over 1 is what congestion may waste. */
     private static final double ADMITTED_PER_SERVED = 1.5;
@@ -164,7 +164,7 @@
     private double retryTokens = MAX_RETRY_TOKENS;
     private long wakeAtUs = Long.MAX_VALUE;
     private boolean hasServerList;
-    private boolean isWatching;
+    private boolean isWatchPending;
     private long discoveryQueryAtUs = Long.MAX_VALUE;
     private int discoveryFailures;
     /** The probes that their price allows for each call, and the probes saved up for later calls. */
@@ -241,7 +241,7 @@
             hasServerList = true;
             discoveryQueryAtUs = settings.watchesDiscovery() ? nowUs : Long.MAX_VALUE;
         } else if (settings.watchesDiscovery()) {
-            isWatching = true;
+            isWatchPending = true;
             discoveryFailures = 0;
             discoveryQueryAtUs = Long.MAX_VALUE;
         }
@@ -459,7 +459,7 @@
 
     @Override
     public void discoveryFailed(long nowUs) {
-        isWatching = false;
+        isWatchPending = false;
         long pauseUs = WATCH_RETRY_JITTER_US << Math.min(discoveryFailures++, 6);
         long maxPauseUs = settings.rules().maxDiscoveryIntervalUs() > 0
                 ? settings.rules().maxDiscoveryIntervalUs() / 4 : pauseUs;
@@ -844,7 +844,7 @@
                 : Math.max(server.attemptsInFlight, (int) meanProbedLoad);
     }
 
-    /** Returns the calls in flight: this copy's own, or all copies' where a valid load report tells more. */
+    /** Returns the calls in flight: this copy's own count or, if higher, that of a valid load report. */
     private static int load(long nowUs, Backend server) {
         return server.reportedLoadUntilUs > nowUs ? Math.max(server.attemptsInFlight, server.reportedLoad)
                 : server.attemptsInFlight;
@@ -868,8 +868,8 @@
         if (idleA != idleB) {
             return idleA;
         }
-        // A server unreachable from this copy has none of its calls in flight. Counting its unanswered calls
-        // and probes as load keeps it from getting all calls that the other servers have no room for.
+        // A server that this copy cannot reach has none of the copy's calls in flight, so its load looks low.
+        // Counting unanswered calls and probes as load avoids sending it every call while others are busy.
         loadA += Math.min(EJECTION_UNANSWERED, a.unansweredProbes + a.unansweredCalls);
         loadB += Math.min(EJECTION_UNANSWERED, b.unansweredProbes + b.unansweredCalls);
         return loadA != loadB ? loadA < loadB : a.assignedAtUs < b.assignedAtUs;
@@ -932,7 +932,7 @@
 
     @Override
     public void outcome(long nowUs, String id, int attemptNumber, String server, Outcome outcome,
-            long elapsedUs, boolean ended, LoadReport report) {
+            long elapsedUs, boolean requestEnded, LoadReport report) {
         Call call = callsById.get(id);
         if (call == null || attemptNumber >= call.attempts.size()
                 || !call.attempts.get(attemptNumber).isInFlight) {
@@ -955,7 +955,7 @@
         if (outcome == Outcome.TIMEOUT && !attempt.isStalled) {
             recordUnansweredCall(nowUs, attempt.server);
         }
-        if (ended) {
+        if (requestEnded) {
             call.hasEnded = true;
             cancelAttempts(call);
         }
@@ -1096,7 +1096,8 @@
         if (call == null || attempt >= call.attempts.size() || !call.attempts.get(attempt).isInFlight) {
             return;
         }
-        // The rest depends on the client's speed, so for the server and for the aim the call has ended.
+        // The rest of the answer is sent at the client's speed. So the server's work on the call ends here,
+        // and so does the latency that is compared with the aim.
         Attempt streaming = call.attempts.get(attempt);
         streaming.isAnswering = true;
         streaming.endWork();
@@ -1243,7 +1244,7 @@
 
     /** Does the work that is due: queries discovery, handles stalled attempts, sends or ends queued calls. */
     private void runDueWork(long nowUs) {
-        if (discoveryQueryAtUs <= nowUs && !isWatching) {
+        if (discoveryQueryAtUs <= nowUs && !isWatchPending) {
             discoveryQueryAtUs = Long.MAX_VALUE;
             actions.watchServers();
         }
