--- a/src/main/java/larkworks/Backend.java
+++ b/src/main/java/larkworks/Backend.java
@@ -25,11 +25,11 @@
     /** The number of calls in flight that it reported with its latest answer, plus one. */
     double answerLoad;
     long startedAtUs;
-    /** When the operator ended its maintenance, usually after a restart; 0 where there was none. */
+    /** When the operator ended its maintenance, usually after a restart; 0 if it was never in maintenance. */
     long maintenanceEndedAtUs;
     /**
-     * The latest time at which it may be used, whatever its place in the assignment order: a server that
-     * returns from maintenance must soon be seen to work.
+     * From this time it may be used even if {@link #waitIntervals} have not passed: a server that returns
+     * from maintenance must soon prove that it works.
      */
     long firstUseByUs = Long.MAX_VALUE;
     boolean isUp;
@@ -40,8 +40,8 @@
     /** This copy's attempts in flight there. */
     int attemptsInFlight;
     /**
-     * When it was last assigned a call; moved to a later time for a slow server and to an earlier one for a
-     * fast server. A server that was never used has a random value below all times. Only
+     * When it was last assigned a call; a later time for a slow server, and an earlier time for a fast
+     * server. A server that was never used has a random value below all times. Only
      * {@link AssignmentOrder} changes it.
      */
     long assignedAtUs;
@@ -55,20 +55,20 @@
     int unansweredProbes;
     /** Until when it is chosen only if all other servers are busy. */
     long demotedUntilUs = Long.MIN_VALUE;
-    /** The calls in flight that it reported to a probe, or a high load after it rejected a call as full. */
+    /** The calls in flight that it reported to a probe, or a high number after it rejected a call as full. */
     int reportedLoad;
     /** Until when {@link #reportedLoad} is valid. */
     long reportedLoadUntilUs = Long.MIN_VALUE;
-    /** Decaying sums of its calls' durations and of the loads they met, and when both were last updated. */
+    /** Decaying sums of its calls' durations and of its loads at those calls, and when both were updated. */
     double durationSumUs;
     double loadSum;
     long lastMeasuredAtUs = Long.MIN_VALUE;
     /** When the probe in flight was sent; {@code Long.MIN_VALUE} where there is none. */
     long probeSentAtUs = Long.MIN_VALUE;
     long ejectedUntilUs = Long.MIN_VALUE;
-    /** A cold or newly listed server gets no call until this many of its assignment intervals have passed. */
+    /** A cold or newly listed server gets no call until this many assignment intervals have passed. */
     double waitIntervals;
-    /** The time from which the intervals before its next call are counted. */
+    /** The time from which {@link #waitIntervals} are counted. */
     long waitFromUs;
 
     Backend(String id) {
--- a/src/main/java/larkworks/Balancer.java
+++ b/src/main/java/larkworks/Balancer.java
@@ -54,7 +54,7 @@
         RESET(false),
         /** This proxy cancelled the attempt; the request may have run. */
         CANCELLED(false),
-        /** The attempt was never sent: the request had ended, or its time or its attempts were used up. */
+        /** The attempt was never sent: the request had ended, or had no time or no attempts left. */
         NOT_SENT(true);
 
         /** True where the outcome proves that the request never ran. */
@@ -93,11 +93,11 @@
      * A class of requests. No component has a default.
      *
      * @param name for display; it has no effect on decisions
-     * @param aimUs the latency that the class aims at; an answer after it is worth only {@code lateWorth} of
-     *     the full worth; above 0
+     * @param aimUs the latency that the class aims at; an answer after that time is worth only
+     *     {@code lateWorth} of the full worth; must be above 0
      * @param deadlineUs how long a client waits for an answer over all its tries; at least {@code aimUs}
      * @param worth the worth of one answered request, per request or per unit of work; not negative
-     * @param lateWorth the part of the worth that remains after the aim, 0 to 1
+     * @param lateWorth the part of the worth that an answer after the aim has, 0 to 1
      * @param effect whether a request may run more than once
      * @param group the servers that drop repeats of a keyed request; unused for other effects
      * @param dedupWindowUs how long repeats of a keyed request are dropped, from its first send
@@ -109,7 +109,7 @@
      * A tenant.
      *
      * @param name for display; it has no effect on decisions
-     * @param quotaPerSecond requests per second over all proxies that lie within its quota; 0 for unlimited
+     * @param quotaPerSecond its quota, in requests per second over all proxies; 0 for unlimited
      */
     record Tenant(String name, double quotaPerSecond) { }
 
@@ -134,7 +134,7 @@
      *     0 where they are not
      * @param coldFrom the share of its full capacity that a server has when it starts, above 0, at most 1
      * @param coldUs the maximum time until a started server has its full capacity
-     * @param tipMultiple a cold server fails under more than this multiple of the load it can serve
+     * @param tipMultiple the multiple of the load it can serve above which a cold server fails
      */
     record Rules(long drainGraceUs, long maxDiscoveryIntervalUs, double coldFrom, long coldUs,
             double tipMultiple) { }
@@ -167,7 +167,7 @@
      * One entry of a list of servers.
      *
      * @param id the server's name: an opaque string, which stays the same when its process restarts
-     * @param startedAtUs when its process last started; 0 for long ago
+     * @param startedAtUs when its process last started; 0 if that was long ago
      * @param zone the zone it is in
      * @param status whether it may be sent new requests
      * @param group the cell whose servers share their record of idempotency keys with it
@@ -235,7 +235,7 @@
         /** Reports that a call to a server with a budget was sent, or skipped as the budget was used up. */
         default void reportServerBudgetUse(String server, boolean granted) { }
 
-        /** Reports that a request of a class with a budget was accepted, or refused as it was used up. */
+        /** Reports that a request of a class with a budget was accepted, or refused for lack of budget. */
         default void reportClassBudgetUse(int requestClass, boolean granted) { }
 
         /** Writes a line to the operator's log. */
@@ -247,7 +247,7 @@
 
     /**
      * Reports that the operator put a server into maintenance, or ended its maintenance. A server in
-     * maintenance gets no calls whatever its status in the list, also where it is listed only later. A
+     * maintenance gets no calls whatever its status in the list, even if it is listed only later. A
      * repeated command has no effect.
      */
     void maintenanceChanged(long nowUs, String server, boolean inMaintenance);
@@ -256,15 +256,15 @@
     void peerVerdict(long nowUs, String server, Verdict verdict, long untilUs);
 
     /**
-     * Sets the number of calls that this copy may send to a server until {@code untilUs}; after that it may
-     * send none until the next such event. An {@code untilUs} of 0 removes the budget. The event may come
-     * before the server is listed.
+     * Sets the number of calls that this copy may send to a server until {@code untilUs}. After that the
+     * copy may send none until the next such event. An {@code untilUs} of 0 removes the budget. The event
+     * may come before the server is listed.
      */
     void serverBudgetChanged(long nowUs, String server, long tokens, long untilUs);
 
     /**
-     * Sets the number of requests of a class that this copy may accept until {@code untilUs}; after that it
-     * may accept none until the next such event.
+     * Sets the number of requests of a class that this copy may accept until {@code untilUs}. After that the
+     * copy may accept none until the next such event.
      */
     void classBudgetChanged(long nowUs, int requestClass, long tokens, long untilUs);
 
--- a/src/main/java/larkworks/Call.java
+++ b/src/main/java/larkworks/Call.java
@@ -22,10 +22,10 @@
     final List<Attempt> attempts = new ArrayList<>(2);
     int attemptsInFlight;
     boolean hasEnded;
-    /** Whether the call was already counted as served in time or not, or must not be counted. */
+    /** Whether {@link RecentCallCounts} counted the call already, or must not count it. */
     boolean isCounted;
     boolean isBeyondQuota;
-    /** Whether the call was queued for a server; then it is sent only if an answer in time is likely. */
+    /** Whether the call waited for a server; such a call is sent only if an answer in time is likely. */
     boolean wasQueued;
     int probeRounds;
     /** Until when the call waits for the answers to its probes. */
--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -16,16 +16,16 @@
  * The implementation of the decision module. Its types, events and actions are in {@link Balancer}.
  *
  * <p>Without failures a call goes to a server with none of this copy's calls in flight, else to the one with
- * the fewest, and among equals to the least recently assigned; see {@link #isBetter}. The rest of this class
- * handles failures and limits.
+ * the fewest, and among equals to the least recently assigned; see {@link #isBetter}. The other methods
+ * handle failures and limits.
  */
 public final class Logic implements Balancer {
 
     /** Consecutive connection failures after which a server is ejected: a single one may be chance. */
     private static final int EJECTION_CONNECTION_FAILURES = 2;
     /**
-     * How long a server is demoted, or ejected for the first time: a few attempts a minute do no harm, and a
-     * restart takes some seconds.
+     * How long a server is demoted, or ejected for the first time. A restart takes some seconds, and the few
+     * attempts a minute that a failing server still gets do no harm.
      */
     private static final long FAILURE_PENALTY_US = 3_000_000;
     /** Retry tokens added by each request, so that retries add at most a tenth to the load over time. */
@@ -33,22 +33,22 @@
     /** Retry tokens that may be saved up for a burst of failures. */
     private static final double MAX_RETRY_TOKENS = 5;
     /**
-     * The delay before a failed watch is repeated. The current list may be used for four times this long at
-     * least, so that there is no hurry.
+     * The delay before a failed watch is repeated. The current list may be used for at least four times as
+     * long, so that an immediate repeat is not needed.
      */
     private static final long WATCH_RETRY_DELAY_US = 1_000_000;
-    /** The maximum random delay added to {@link #WATCH_RETRY_DELAY_US}; doubled at each failure. */
+    /** The maximum random delay added to {@link #WATCH_RETRY_DELAY_US}; it doubles at each failure. */
     private static final long WATCH_RETRY_JITTER_US = 250_000;
     /**
      * The part of the worth of all requests that probes may cost over all tiers. No probe is sent where two
-     * of them for each call would cost more.
+     * probes for each call would cost more.
      */
     private static final double MAX_PROBE_COST_SHARE = 0.02;
     /** Probes in one round before a call: one may be lost or slow, a third would rarely be of use. */
     private static final int PROBES_PER_ROUND = 2;
-    /** The mean load in calls in flight per server, below which one probe in a round is mostly enough. */
+    /** Below this mean of calls in flight per server a round has one probe: that is mostly enough. */
     private static final double LIGHT_LOAD_CALLS = 0.25;
-    /** Maximum rounds of probes before a call is sent to the best server known. */
+    /** Maximum rounds of probes for a call; then it is sent to the best server known. */
     private static final int MAX_PROBE_ROUNDS = 3;
     /** A call waits for its probes only while probes take no more than this part of the aim. */
     private static final double MAX_PROBE_SHARE_OF_AIM = 0.02;
@@ -59,16 +59,16 @@
      * most of their work is still to do.
      */
     private static final double BUSY_REPORT_VALIDITY = 0.25;
-    /** The weight of a call's hinted work beyond the mean: hints err, and not all of its time is work. */
+    /** The weight of a call's expected work beyond the mean: hints err, and a call also waits. */
     private static final double EXTRA_WORK_WEIGHT = 0.5;
     /**
-     * A server may be chosen for a call if the expected duration there is at most this part of the time left,
-     * as a call can take far longer than the mean.
+     * A server may be chosen for a call if the call's expected duration there is at most this part of its
+     * time left, as a call can take far longer than expected.
      */
     private static final double MAX_SHARE_OF_TIME_LEFT = 0.45;
-    /** A server is assigned calls at most this many times less often, or more often, than the mean. */
+    /** A server gets calls at most this many times less often, or more often, than the average server. */
     private static final double MAX_SLOWNESS = 20;
-    /** A reported load changes the time to the next call at most by this factor, as reports are inexact. */
+    /** A load report changes the time to a server's next call by at most this factor: reports are inexact. */
     private static final double MAX_LOAD_RATIO = 3;
     /** The load that all copies may send to a cold server, as a part of the load at which it would fail. */
     private static final double COLD_LOAD_MARGIN = 0.6;
@@ -76,9 +76,9 @@
     private static final double FAST_QUANTILE = 0.3;
     /** The mean duration of calls is capped at this multiple of the quantile {@link #FAST_QUANTILE}. */
     private static final double MAX_MEAN_TO_FAST_RATIO = 2;
-    /** A queued call needs this multiple of the mean duration left: else half would be answered too late. */
+    /** The time left that a queued call needs, in mean durations: at 1, half would be answered too late. */
     private static final double QUEUED_CALL_MARGIN = 1.4;
-    /** The relative step by which the estimate of {@link #FAST_QUANTILE} moves with each answer. */
+    /** The relative step by which an answer moves the estimate of the quantile {@link #FAST_QUANTILE}. */
     private static final double FAST_QUANTILE_STEP = 0.05;
     /** The ejection time doubles at each further failure, at most this many times. */
     private static final int MAX_EJECTION_DOUBLINGS = 4;
@@ -93,7 +93,7 @@
     private static final double CROSS_ZONE_DELAY_ROUNDS = 1;
     /** The weight of the latest answer in a server's share of errors. */
     private static final double ERROR_MEAN_WEIGHT = 0.2;
-    /** The share of errors above which a server may be ejected for them. */
+    /** The share of errors in its answers above which a server may be ejected. */
     private static final double EJECTION_ERROR_SHARE = 0.35;
     /** The longest delay of a slow server's next call, as the server may have recovered. */
     private static final double MAX_ASSIGNMENT_DELAY_US = 24_000_000;
@@ -104,15 +104,15 @@
     private static final double TENANT_BURST_REQUESTS = 8;
     /** The number of calls in flight assumed at a server that rejected a call as full. */
     private static final int FULL_SERVER_LOAD_CALLS = 1000;
-    /** Calls admitted for each call served in time; the excess over 1 is what congestion may waste. */
+    /** Calls admitted for each call served in time; the part above 1 may be wasted work. */
     private static final double ADMITTED_PER_SERVED = 1.5;
-    /** Calls admitted in any case, so that an occasional call shows whether congestion has cleared. */
+    /** Calls admitted even if none is served in time, to find out whether congestion has cleared. */
     private static final double ADMITTED_EXTRA_CALLS = 1;
-    /** The minimum size of a copy's subset of servers: enough that most remain when several fail together. */
+    /** The minimum size of a copy's subset of servers: most must remain when several fail together. */
     private static final int MIN_SUBSET_SERVERS = 10;
     /**
      * The minimum size of the subset where calls can probe servers: an idle server is found sooner among more
-     * servers, and each is still used again before its idle connections expire.
+     * servers, and each server still gets calls often enough to keep its idle connections open.
      */
     private static final int MIN_PROBED_SUBSET_SERVERS = 48;
     /** The minimum number of copies whose subsets contain a given server: with fewer, loads are uneven. */
@@ -129,20 +129,20 @@
     /** All servers, in the order of the ring ({@link Backend#RING_ORDER}). */
     private final List<Backend> servers = new ArrayList<>();
     private final AssignmentOrder assignmentOrder = new AssignmentOrder();
-    /** The servers that this copy uses, see {@link #chooseSubset}; others serve while none of these can. */
+    /** The servers that this copy uses, see {@link #chooseSubset}; others only while none of these can. */
     private final List<Backend> subset = new ArrayList<>();
     /** The cold servers of the subset. */
     private final List<Backend> coldSubset = new ArrayList<>();
-    /** Servers that were idle by their answer to a probe, while that answer is valid. */
+    /** Servers that were idle by their answer to a probe; may hold some whose answer is outdated. */
     private final List<Backend> probedIdle = new ArrayList<>();
     /** The number of servers examined so far in all choices of a server for a call or a probe. */
     private long serversExamined;
     /** Whether servers were added, removed or changed their weight since the subset was chosen. */
     private boolean isSubsetOutdated = true;
-    /** When the next unavailable server can be used again; computed at most once per event. */
+    /** When the first of the unavailable servers becomes available; computed at most once per event. */
     private long nextAvailableUs;
     private boolean isNextAvailableKnown;
-    /** Servers in maintenance, with their entry in the list; null for a server that is not listed as up. */
+    /** Servers in maintenance, each with its entry in the list, or null if it is not listed as up. */
     private final Map<String, Server> serversInMaintenance = new HashMap<>();
     /** By server, when its maintenance ended. */
     private final Map<String, Long> maintenanceEndedAtUs = new HashMap<>();
@@ -154,8 +154,9 @@
     /** The number of servers in the subset, where a server at its end counts in part. */
     private double subsetSize;
     private double meanWeight = 1;
+    /** The mean of {@link Backend#answerLoad} over the latest answers. */
     private double meanAnswerLoad;
-    /** Calls sent and not yet counted in the recent calls, oldest first. */
+    /** Sent calls that {@link #recentCalls} may not have counted yet, oldest first. */
     private final ArrayDeque<Call> uncountedCalls = new ArrayDeque<>();
     private final RecentCallCounts recentCalls;
     private boolean isCongested;
@@ -167,8 +168,9 @@
     private boolean isWatchPending;
     private long discoveryQueryAtUs = Long.MAX_VALUE;
     private int discoveryFailures;
-    /** The probes that their price allows for each call, and the probes saved up for later calls. */
+    /** The number of probes for each call that the price of probes allows. */
     private final double probesPerCall;
+    /** The number of probes that may be sent now. */
     private double probeTokens;
     private double meanProbeUs;
     /** The mean load reported to probes: the load assumed for a server without a valid report. */
@@ -186,17 +188,18 @@
     /** The mean durations of the calls of each class, and of all classes. */
     private final double[] meanDurationByClassUs;
     private double meanDurationUs;
-    /** The time that a client allowed for the latest request that was a first try. */
+    /** The time left of the latest request that was a client's first try, when the request arrived. */
     private double firstTryTimeLeftUs;
-    /** By tenant, the time until which its requests so far have used up its quota. */
+    /** By tenant, the time until which its quota is used up by the requests counted so far. */
     private final double[] quotaUsedUntilUs;
-    /** Budgets by server, also for unlisted ones; budgets by class; the preferred servers by class. */
+    /** By server, its budget; a server may get one before it is listed. */
     private final Map<String, BudgetShare> serverBudgets = new HashMap<>();
     private final BudgetShare[] classBudgets;
+    /** By class, the servers that its requests prefer. */
     private final List<Collection<String>> preferredServers = new ArrayList<>();
     private double meanSendGapUs;
     private long lastSentAtUs = Long.MIN_VALUE;
-    /** The mean interval at which a warm server serves calls of this copy, and when the last was served. */
+    /** The mean interval at which a warm server serves this copy's calls, and when a call was last served. */
     private double meanServedGapUs;
     private long lastServedAtUs = Long.MIN_VALUE;
 
@@ -314,7 +317,7 @@
             return;
         }
         Backend server = serversById.get(entry.id());
-        // The list may show the restart made during the maintenance only after the maintenance has ended.
+        // A restart during maintenance may be listed only after it; slow start already counts from its end.
         boolean hasRestarted = server != null && entry.startedAtUs() != server.startedAtUs
                 && (server.maintenanceEndedAtUs == 0 || entry.startedAtUs() > server.maintenanceEndedAtUs);
         if (entry.status() != ServerStatus.UP) {
@@ -350,9 +353,9 @@
      * Chooses the subset of servers that this copy uses. In a large fleet a copy with few calls would
      * otherwise measure too few calls at each server, and keep a connection to every one. All copies order
      * the servers on the same ring by a hash. Each copy takes an arc that starts at its own point of the
-     * ring; a server across the end of the arc counts in part. So servers of equal weight serve equally many
-     * copies, and a server added or removed shifts an arc by one place. A small fleet, or one with few
-     * copies, is used whole; the limit is higher where calls can probe servers.
+     * ring; a server only partly inside the arc counts in part. So servers of equal weight serve equally many
+     * copies, and a server added or removed shifts an arc by one place. Where there are few servers or few
+     * copies, the subset is all servers. Its minimum size is larger where calls can probe servers.
      */
     private void chooseSubset() {
         subset.clear();
@@ -385,7 +388,7 @@
         }
     }
 
-    /** Returns how much of the interval from {@code start} to {@code start + length} lies in 0..end. */
+    /** Returns how much of the interval of this length from {@code start} lies between 0 and {@code end}. */
     private static double overlap(double start, double length, double end) {
         return Math.max(0, Math.min(start + length, end) - Math.max(start, 0));
     }
@@ -400,10 +403,10 @@
     }
 
     /**
-     * Returns the minimum interval between two calls of this copy to a server. If every copy keeps it, a cold
-     * server gets no more than a safe part of the load under which it would fail, on the assumption that a
-     * warm server's capacity is at least what it serves now. Calls served are the measure rather than calls
-     * sent, as a rejected call is sent again to further servers.
+     * Returns the minimum interval between two calls of this copy to a server. With it all copies together
+     * send a cold server only a safe part of the load under which it would fail. A warm server's capacity is
+     * taken to be the rate at which it serves calls now, as it is at least that. The rate of calls sent would
+     * be too high, as a rejected call is sent again to further servers.
      */
     private double assignmentIntervalUs(Backend server, long nowUs) {
         double capacityShare = capacityShare(server, nowUs);
@@ -430,14 +433,14 @@
     }
 
     /**
-     * Returns how many times longer than the mean the server's calls take. It moves the server's place in the
-     * assignment order, which is what decides among idle servers.
+     * Returns how many times longer than the mean the server's calls take. The slower the server, the later
+     * its place in the assignment order, which decides among idle servers.
      */
     private double slowness(Backend server) {
         double measured = server.loadSum == 0 || meanCallUs == 0 ? 1
                 : Math.min(MAX_SLOWNESS, Math.max(1 / MAX_SLOWNESS, server.meanCallUs() / meanCallUs));
-        // A copy with few calls measures a server's speed too late, and durations include waiting in other
-        // tiers. So the registered weight goes first; a measured duration counts only above the mean.
+        // A copy with few calls needs long to measure a server's speed, and durations include waiting in
+        // other tiers. So a weight other than the mean decides, unless measured durations are even longer.
         double relativeTime = server.weight == meanWeight ? measured
                 : measured > 1 ? Math.max(measured, meanWeight / server.weight) : meanWeight / server.weight;
         return relativeTime * (server.reportsLoad
@@ -446,8 +449,8 @@
     }
 
     /**
-     * Records the load report of an answer. It is outdated when the server is next in the assignment order,
-     * so it changes only the server's place there.
+     * Records the load report of an answer. By the server's next call the report is outdated, so it is not
+     * used as the server's load but only for its place in the assignment order.
      */
     private void recordLoadReport(Backend server, LoadReport report) {
         if (report != null && report.inFlight() >= 0) {
@@ -468,11 +471,11 @@
         runDueWork(nowUs);
     }
 
-    // ---- state shared by the fleet
+    // ---- state that the copies share
 
     /**
      * Ejects a server that another copy ejected, but only demotes it where it answered this copy recently.
-     * Another copy cannot withdraw this copy's demotion of a server that failed here.
+     * Another copy cannot withdraw the demotion of a server that failed for this copy.
      */
     @Override
     public void peerVerdict(long nowUs, String id, Verdict verdict, long untilUs) {
@@ -515,7 +518,7 @@
         preferredServers.set(requestClass, List.copyOf(ids));
     }
 
-    /** Takes a request from this copy's share of its class's budget; returns true if that is used up. */
+    /** Takes a request out of this copy's share of the class's budget; returns true if none is left. */
     private boolean isBeyondClassBudget(long nowUs, int requestClass) {
         BudgetShare budget = classBudgets[requestClass];
         boolean granted = budget == null || budget.tryTake(nowUs);
@@ -542,7 +545,7 @@
         if (!request.isClientRetry()) {
             firstTryTimeLeftUs = request.timeLeftUs();
         } else if (Math.abs(request.timeLeftUs() - firstTryTimeLeftUs) > settings.tickUs() * 10) {
-            // The aim counts from the first try, and a client's last try has all of its remaining time.
+            // The aim counts from the first try. A client's last try shows by its time left when that was.
             usefulUs -= requestClass.deadlineUs() - request.timeLeftUs();
         }
         Call call = new Call(request, requestClass, nowUs, nowUs + Math.min(request.timeLeftUs(), usefulUs),
@@ -561,9 +564,9 @@
 
     /**
      * Decides whether to refuse a request because too few of the recent calls were served in time. Under
-     * congestion servers work for clients that have gone, and each further call prolongs the congestion. So
-     * only about as many calls are admitted as are served; each copy that detects congestion limits its own
-     * calls.
+     * congestion servers work for clients that have disconnected, and each further call prolongs the
+     * congestion. So only about as many calls are admitted as are served in time. Each copy detects
+     * congestion by its own calls and limits only those.
      */
     private boolean isRefusedForCongestion(long nowUs) {
         while (!uncountedCalls.isEmpty()
@@ -584,10 +587,10 @@
     }
 
     /**
-     * Returns whether a request exceeds this copy's part of its tenant's quota, and counts it if it does not.
-     * Such a request is worth little, so it is given up while no server is idle. Without probes it is always
-     * given up, as to a copy with few calls servers look idle until they are overloaded. Below the first tier
-     * no request is given up for its quota, as work was already done for it.
+     * Returns whether a request exceeds this copy's part of the tenant's quota. A request within the quota is
+     * counted. A request beyond it is worth little, so it is given up while no server is idle; without probes
+     * it is always given up, as a copy with few calls sees servers as idle until they are overloaded. Below
+     * the first tier no request counts as beyond the quota, as work was already done for it.
      */
     private boolean isBeyondQuota(long nowUs, int tenant) {
         if (settings.tier() > 0 || settings.overQuotaWorth() >= 1 || tenant >= quotaUsedUntilUs.length) {
@@ -610,7 +613,7 @@
         if (minExpectedUs(call) > timeLeftUs || timeLeftUs <= 0
                 || !call.attempts.isEmpty() && !canRepeat(nowUs, call)) {
             if (!call.wasQueued) {
-                // Without this, one slow period could have all later calls given up, with none measured.
+                // Otherwise one slow period could cause all later calls to be given up unmeasured.
                 fastCallUs *= 1 - FAST_QUANTILE_STEP * FAST_QUANTILE;
             }
             giveUp(nowUs, call);
@@ -639,8 +642,8 @@
      * Sends probes for a call, and returns whether the call waits for their answers. With few calls of its
      * own in flight a copy sees every server as idle, also one that is busy with other copies' calls, stalled
      * or slow. So the least recently assigned servers are probed, and the first that reports to be idle gets
-     * the call. Calls wait only where probes are cheap and fast. While they are slow, one is sent along with
-     * each call, as nothing else would show that they are fast again.
+     * the call. Calls wait only where probes are cheap and fast. While probes are slow, a call does not wait,
+     * but one probe is sent with it, to find out when probes are fast again.
      */
     private boolean mustWaitForProbes(long nowUs, Call call) {
         boolean areProbesFast = meanProbeUs <= call.requestClass.aimUs() * MAX_PROBE_SHARE_OF_AIM;
@@ -755,7 +758,7 @@
         return best;
     }
 
-    /** Returns the best server that a probe found idle and that got no call since, or null. */
+    /** Returns the best server that a probe found idle and that has no call in flight, or null. */
     private Backend bestProbedIdle(long nowUs, Call call) {
         probedIdle.removeIf(server -> server.reportedLoadUntilUs <= nowUs || server.reportedLoad > 0);
         Backend best = null;
@@ -769,7 +772,7 @@
         return best;
     }
 
-    /** Returns the best allowed server, or null. The servers must come in assignment order. */
+    /** Returns the best allowed server, or null. The candidates must be in assignment order. */
     private Backend bestAllowed(long nowUs, Iterable<Backend> candidates, Predicate<Backend> allowed) {
         Backend best = null;
         for (Backend server : candidates) {
@@ -785,19 +788,19 @@
         return best;
     }
 
-    /** Returns the number of servers examined so far: the cost of a choice must not grow with the fleet. */
+    /** Returns the number of servers examined so far, to check that a choice examines few in any fleet. */
     long serversExamined() {
         return serversExamined;
     }
 
-    /** Returns whether no server later in the assignment order can be better. */
+    /** Returns whether a server is so good that none after it in the assignment order can be better. */
     private boolean isIdleAndHealthy(long nowUs, Backend server) {
         return load(nowUs, server) == 0 && server.unansweredProbes + server.unansweredCalls == 0
                 && !isDemoted(nowUs, server);
     }
 
     private boolean canServeInTime(long nowUs, Call call, Backend server) {
-        // An idle server is never ruled out as too slow: without calls, its recovery would not be seen.
+        // An idle server is never ruled out as too slow: without calls its recovery would go unnoticed.
         return isAvailableFor(nowUs, call, server)
                 && (assumedLoad(nowUs, server) == 0
                         || expectedCallUs(nowUs, call, server)
@@ -819,7 +822,7 @@
 
     /**
      * Returns when a server may be used: after its ejection, and after the delay for cold and new servers.
-     * For a cold server that delay follows from its capacity half-way between its last call and now.
+     * For a cold server the delay is computed from its capacity half-way between its last call and now.
      */
     private long availableAtUs(long nowUs, Backend server) {
         long atUs = capacityShare(server, nowUs) < 1 ? server.waitFromUs + (nowUs - server.waitFromUs) / 2
@@ -844,13 +847,13 @@
                 : Math.max(server.attemptsInFlight, (int) meanProbedLoad);
     }
 
-    /** Returns the calls in flight: this copy's own count or, if higher, that of a valid load report. */
+    /** Returns a server's calls in flight: this copy's own or, if more, those in a valid load report. */
     private static int load(long nowUs, Backend server) {
         return server.reportedLoadUntilUs > nowUs ? Math.max(server.attemptsInFlight, server.reportedLoad)
                 : server.attemptsInFlight;
     }
 
-    /** Returns the minimum expected duration of the call; 0 while too few calls were measured. */
+    /** Returns the time that a call must have left, by the durations of calls; 0 while too few are known. */
     private double minExpectedUs(Call call) {
         return measuredCalls < 1 / FAST_QUANTILE ? 0
                 : (call.wasQueued ? meanCallUs * QUEUED_CALL_MARGIN : fastCallUs) * call.relativeWork;
@@ -858,7 +861,7 @@
 
     /**
      * Returns whether {@code a} is chosen before {@code b}. Servers that are idle and not demoted go first;
-     * then, demoted or not, those with the fewest calls in flight; among equals the least recently assigned.
+     * then those with the fewest calls in flight, demoted or not. Ties go to the least recently assigned.
      */
     private boolean isBetter(long nowUs, Backend a, Backend b) {
         int loadA = load(nowUs, a);
@@ -876,9 +879,8 @@
     }
 
     /**
-     * Returns whether a server is demoted. A server with an unanswered probe counts as demoted too: it was
-     * probed as the least recently assigned, so that the call would otherwise go to a server that is stalled
-     * or unreachable.
+     * Returns whether a server is demoted. A server with an unanswered probe counts as demoted too: it may
+     * be stalled or unreachable, and as the first in the assignment order would otherwise get the next call.
      */
     private boolean isDemoted(long nowUs, Backend server) {
         return server.demotedUntilUs > nowUs
@@ -886,7 +888,7 @@
                         && nowUs - server.probeSentAtUs > PROBE_TIMEOUT_MULTIPLE * meanProbeUs;
     }
 
-    /** Returns false for a server that the call was sent to before, or that would not drop its repeat. */
+    /** Returns false for a server that already got the call, or that would not drop a repeat of it. */
     private static boolean isAllowedFor(Call call, Backend server) {
         for (Attempt a : call.attempts) {
             if (a.server == server) {
@@ -979,7 +981,7 @@
             loadSum += attempt.serverLoad - loadSum * MEAN_WEIGHT / 2;
             double perCallUs = elapsedUs / attempt.serverLoad;
             if (++measuredCalls <= 1 / FAST_QUANTILE) {
-                // With so few calls the fastest stands for the quantile.
+                // With so few calls the duration of the fastest is used as the quantile.
                 fastCallUs = measuredCalls == 1 ? perCallUs : Math.min(fastCallUs, perCallUs);
             } else {
                 fastCallUs *= 1 + FAST_QUANTILE_STEP
@@ -1004,8 +1006,8 @@
     }
 
     /**
-     * Updates the shares of errors with an answer, and ejects a server with a far higher share than the
-     * others: it answers at once, so that it always looks idle and gets more and more calls. Errors that
+     * Updates the shares of errors with an answer, and ejects a server whose share is far higher than the
+     * others'. As errors are fast, such a server always looks idle and gets more and more calls. Errors that
      * all servers return alike come from a tier below, and no server is ejected for them.
      */
     private void updateErrorShare(long nowUs, Backend server, boolean isError) {
@@ -1066,7 +1068,7 @@
         }
     }
 
-    /** Refuses a call if its client may safely try again and has time or a delay for that; else fails it. */
+    /** Refuses a call if its client may safely try again, now or after a delay; otherwise fails it. */
     private void giveUp(long nowUs, Call call) {
         call.hasEnded = true;
         boolean hasTimeLeft = minExpectedUs(call) < call.timeLeftUs(nowUs);
@@ -1096,8 +1098,8 @@
         if (call == null || attempt >= call.attempts.size() || !call.attempts.get(attempt).isInFlight) {
             return;
         }
-        // The rest of the answer is sent at the client's speed. So the server's work on the call ends here,
-        // and so does the latency that is compared with the aim.
+        // The client's speed decides how long the rest of the answer takes. So the server's work on the call
+        // and the latency that is compared with the aim end here.
         Attempt streaming = call.attempts.get(attempt);
         streaming.isAnswering = true;
         streaming.endWork();
@@ -1131,7 +1133,8 @@
 
     /**
      * Handles a stalled attempt: its server may hang, even while it accepts connections and answers probes. A
-     * hedged attempt is sent to a second server where that is safe.
+     * hedged attempt is sent to a second server if the call may be repeated and a retry token and enough
+     * time are left.
      */
     private void handleStall(long nowUs, Attempt attempt) {
         attempt.isStalled = true;
@@ -1183,7 +1186,8 @@
             server.reportedLoad = (int) Math.round(Math.max(report.inFlight(), report.queue()));
             meanProbedLoad += MEAN_WEIGHT * (server.reportedLoad - meanProbedLoad);
             if (server.reportedLoad > 0) {
-                // Otherwise busy servers would be probed first each time, and hide how idle the others are.
+                // A busy server moves back in the order: else the same busy servers would be probed first
+                // each time, and the mean load by probes would not show that others are idle.
                 assignmentOrder.put(server, Math.max(server.assignedAtUs, nowUs));
             } else if (!probedIdle.contains(server)) {
                 probedIdle.add(server);
@@ -1197,7 +1201,7 @@
         } else {
             long demotionUs = (long) (PROBE_TIMEOUT_MULTIPLE * meanCallUs);
             server.demotedUntilUs = Math.max(server.demotedUntilUs, nowUs + demotionUs);
-            // Demotion is not enough: an unreachable server would get calls whenever all others are busy.
+            // Demotion is not enough: an unreachable server would still get calls while all others are busy.
             if (++server.unansweredProbes >= EJECTION_UNANSWERED && canEjectOneMore(nowUs)) {
                 demotionUs <<= Math.min(server.unansweredProbes - EJECTION_UNANSWERED,
                         MAX_EJECTION_DOUBLINGS);
@@ -1223,7 +1227,7 @@
         }
     }
 
-    /** Returns when the next server that is ejected or delayed may be used; computed once per event. */
+    /** Returns when the next server that is ejected, delayed or busy may be used; computed once per event. */
     private long nextAvailableUs(long nowUs) {
         if (!isNextAvailableKnown) {
             isNextAvailableKnown = true;
--- a/src/main/java/larkworks/RecentCallCounts.java
+++ b/src/main/java/larkworks/RecentCallCounts.java
@@ -16,8 +16,8 @@
     }
 
     /**
-     * Decays the counts up to the given time. To be called before the counts are read: under congestion no
-     * call may be counted, so that counting alone would not decay them.
+     * Decays the counts up to the given time. To be called before the counts are read: under congestion it
+     * may be long since the last call was counted, and counting alone would not decay them.
      */
     void decayTo(long nowUs) {
         double remainingShare = Math.exp(Math.min(0, decayedAtUs - nowUs) / decayTimeUs);
