--- a/src/main/java/larkworks/Logic.java
+++ b/src/main/java/larkworks/Logic.java
@@ -140,8 +140,8 @@
     /** Whether servers were added, removed or changed their weight since the subset was chosen. */
     private boolean isSubsetOutdated = true;
     /** When the first of the unavailable servers becomes available; computed at most once per event. */
-    private long nextAvailableUs;
-    private boolean isNextAvailableKnown;
+    private long nextServerAvailableUs;
+    private boolean isNextServerAvailableKnown;
     /** Servers in maintenance, each with its entry in the list, or null if it is not listed as up. */
     private final Map<String, Server> serversInMaintenance = new HashMap<>();
     /** By server, when its maintenance ended. */
@@ -441,9 +441,9 @@
                 : Math.min(MAX_SLOWNESS, Math.max(1 / MAX_SLOWNESS, server.meanCallUs() / meanCallUs));
         // A copy with few calls needs long to measure a server's speed, and durations include waiting in
         // other tiers. So a weight other than the mean decides, unless measured durations are even longer.
-        double relativeTime = server.weight == meanWeight ? measured
+        double relativeDuration = server.weight == meanWeight ? measured
                 : measured > 1 ? Math.max(measured, meanWeight / server.weight) : meanWeight / server.weight;
-        return relativeTime * (server.reportsLoad
+        return relativeDuration * (server.reportsLoad
                 ? Math.min(MAX_LOAD_RATIO, Math.max(1 / MAX_LOAD_RATIO, server.answerLoad / meanAnswerLoad))
                 : 1);
     }
@@ -555,7 +555,7 @@
             return;
         }
         call.isBeyondQuota = isBeyondQuota(nowUs, request.tenant());
-        isNextAvailableKnown = false;
+        isNextServerAvailableKnown = false;
         callsById.put(request.id(), call);
         retryTokens = Math.min(MAX_RETRY_TOKENS, retryTokens + RETRY_TOKENS_PER_REQUEST);
         probeTokens = Math.min(probeTokens + probesPerCall, probesPerCall * MAX_PROBE_ROUNDS);
@@ -574,11 +574,11 @@
             recentCalls.countEnded(nowUs, uncountedCalls.poll(), false);
         }
         recentCalls.decayTo(nowUs);
-        double excess = recentCalls.total() - ADMITTED_PER_SERVED * recentCalls.servedInTime()
+        double excessCalls = recentCalls.total() - ADMITTED_PER_SERVED * recentCalls.servedInTime()
                 - ADMITTED_EXTRA_CALLS;
-        boolean isRefused = excess > 0 && random.nextDouble() * recentCalls.total() < excess;
+        boolean isRefused = excessCalls > 0 && random.nextDouble() * recentCalls.total() < excessCalls;
         recentCalls.countRefused(isRefused);
-        if (isCongested ? excess <= 0 : excess > recentCalls.total() / 2) {
+        if (isCongested ? excessCalls <= 0 : excessCalls > recentCalls.total() / 2) {
             isCongested = !isCongested;
             actions.log(isCongested ? "congestion: too few calls are served in time, calls are refused"
                     : "congestion has cleared");
@@ -632,7 +632,8 @@
             call.wasQueued = !call.isUploading;
             call.probeRounds = 0;
             queuedCalls.add(call);
-            requestWakeUp(Math.min(nextAvailableUs(nowUs), nowUs + timeLeftUs - (long) minExpectedUs(call)));
+            requestWakeUp(Math.min(nextServerAvailableUs(nowUs),
+                    nowUs + timeLeftUs - (long) minExpectedUs(call)));
         } else {
             send(nowUs, call, server);
         }
@@ -825,21 +826,21 @@
      * For a cold server the delay is computed from its capacity half-way between its last call and now.
      */
     private long availableAtUs(long nowUs, Backend server) {
-        long atUs = capacityShare(server, nowUs) < 1 ? server.waitFromUs + (nowUs - server.waitFromUs) / 2
-                : nowUs;
-        long entryAtUs = server.waitIntervals == 0 ? nowUs
-                : server.waitFromUs + (long) (server.waitIntervals * assignmentIntervalUs(server, atUs));
-        return Math.max(server.ejectedUntilUs, Math.min(server.firstUseByUs, entryAtUs));
+        long capacityAtUs = capacityShare(server, nowUs) < 1
+                ? server.waitFromUs + (nowUs - server.waitFromUs) / 2 : nowUs;
+        long delayedUntilUs = server.waitIntervals == 0 ? nowUs : server.waitFromUs
+                + (long) (server.waitIntervals * assignmentIntervalUs(server, capacityAtUs));
+        return Math.max(server.ejectedUntilUs, Math.min(server.firstUseByUs, delayedUntilUs));
     }
 
     /** Returns the expected duration of a call at a server, from its speed and its assumed load. */
     private double expectedCallUs(long nowUs, Call call, Backend server) {
-        boolean isRecent = server.lastMeasuredAtUs != Long.MIN_VALUE
+        boolean isMeasuredRecently = server.lastMeasuredAtUs != Long.MIN_VALUE
                 && nowUs - server.lastMeasuredAtUs < FAILURE_PENALTY_US;
-        double usualUs = meanCallUs / capacityShare(server, nowUs);
-        double perCallUs = isRecent ? server.meanCallUs()
-                : server.loadSum > 0 ? Math.min(server.meanCallUs(), usualUs) : usualUs;
-        return perCallUs * (assumedLoad(nowUs, server) + call.relativeWork * EXTRA_WORK_WEIGHT);
+        double meanAtCapacityUs = meanCallUs / capacityShare(server, nowUs);
+        double callUsPerLoad = isMeasuredRecently ? server.meanCallUs()
+                : server.loadSum > 0 ? Math.min(server.meanCallUs(), meanAtCapacityUs) : meanAtCapacityUs;
+        return callUsPerLoad * (assumedLoad(nowUs, server) + call.relativeWork * EXTRA_WORK_WEIGHT);
     }
 
     private int assumedLoad(long nowUs, Backend server) {
@@ -979,13 +980,13 @@
             meanDurationUs += (elapsedUs - meanDurationUs) * (meanDurationUs == 0 ? 1 : MEAN_WEIGHT / 2);
             durationSumUs += elapsedUs - durationSumUs * MEAN_WEIGHT / 2;
             loadSum += attempt.serverLoad - loadSum * MEAN_WEIGHT / 2;
-            double perCallUs = elapsedUs / attempt.serverLoad;
+            double callUsPerLoad = elapsedUs / attempt.serverLoad;
             if (++measuredCalls <= 1 / FAST_QUANTILE) {
                 // With so few calls the duration of the fastest is used as the quantile.
-                fastCallUs = measuredCalls == 1 ? perCallUs : Math.min(fastCallUs, perCallUs);
+                fastCallUs = measuredCalls == 1 ? callUsPerLoad : Math.min(fastCallUs, callUsPerLoad);
             } else {
                 fastCallUs *= 1 + FAST_QUANTILE_STEP
-                        * (perCallUs < fastCallUs ? FAST_QUANTILE - 1 : FAST_QUANTILE);
+                        * (callUsPerLoad < fastCallUs ? FAST_QUANTILE - 1 : FAST_QUANTILE);
             }
             // The mean is capped, so that a few servers that take seconds do not dominate it.
             meanCallUs = Math.min(durationSumUs / loadSum, MAX_MEAN_TO_FAST_RATIO * fastCallUs);
@@ -1228,15 +1229,15 @@
     }
 
     /** Returns when the next server that is ejected, delayed or busy may be used; computed once per event. */
-    private long nextAvailableUs(long nowUs) {
-        if (!isNextAvailableKnown) {
-            isNextAvailableKnown = true;
-            nextAvailableUs = findNextAvailableUs(nowUs);
+    private long nextServerAvailableUs(long nowUs) {
+        if (!isNextServerAvailableKnown) {
+            isNextServerAvailableKnown = true;
+            nextServerAvailableUs = findNextServerAvailableUs(nowUs);
         }
-        return nextAvailableUs;
+        return nextServerAvailableUs;
     }
 
-    private long findNextAvailableUs(long nowUs) {
+    private long findNextServerAvailableUs(long nowUs) {
         long nextUs = Long.MAX_VALUE;
         for (Backend server : subset) {
             long availableAtUs = availableAtUs(nowUs, server);
@@ -1263,7 +1264,7 @@
         if (!startedAttempts.isEmpty()) {
             requestWakeUp(startedAttempts.peek().stalledAtUs);
         }
-        isNextAvailableKnown = false;
+        isNextServerAvailableKnown = false;
         List<Call> queued = List.copyOf(queuedCalls);
         queuedCalls.clear();
         for (Call call : queued) {
