--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -43,8 +43,8 @@
 
 /**
  * A pool of keep-alive connections to backends. Each connection carries one exchange at a time, and each
- * exchange reports how it ended to its receiver. The pool never repeats a request by itself. For the proxy's
- * loop only.
+ * exchange reports how it ended to its receiver. The pool never repeats a request by itself. To be used on
+ * the proxy's event loop only.
  */
 final class BackendPool {
 
@@ -289,7 +289,7 @@
 
         /**
          * Returns for how long an answer of unknown length is buffered, in case it is small enough to be
-         * delivered as a whole. Negative: until it is complete or exceeds {@link #MAX_BUFFERED_BODY_BYTES}.
+         * passed on as a whole. Negative: until it is complete or exceeds {@link #MAX_BUFFERED_BODY_BYTES}.
          */
         default long maxBufferingUs() {
             return -1;
@@ -303,7 +303,7 @@
     interface AnswerSink {
 
         /**
-         * Takes ownership of the next part. Returns false if no further part should be delivered until
+         * Takes ownership of the next part. Returns false if no further part should be passed until
          * {@link Exchange#resumeReading} is called.
          */
         boolean write(ByteBuf content);
@@ -311,10 +311,10 @@
         /** Flushes the parts written so far; called when no more bytes are available to read. */
         void flush();
 
-        /** Completes the body: all of its parts have been delivered. */
+        /** Completes the body: all of its parts have been passed to {@link #write}. */
         void complete();
 
-        /** Aborts the body: it is incomplete, and no further part will be delivered. */
+        /** Aborts the body: it is incomplete, and no further part follows. */
         void abort();
     }
 
@@ -476,7 +476,7 @@
                     status.equals(HttpResponseStatus.BAD_REQUEST));
         }
 
-        /** Releases the buffered body and cancels the timer of the buffering. */
+        /** Releases the buffered body and cancels the timer that limits how long it is buffered. */
         void release() {
             buffered.release();
             if (bufferingTimer != null) {
--- a/src/main/java/larkworks/proxy/CloseReason.java
+++ b/src/main/java/larkworks/proxy/CloseReason.java
@@ -2,7 +2,10 @@
 
 /** Why the proxy closed a client's connection. The constants are written to the log. */
 enum CloseReason {
-    /** The last answer was written: the client asked to close, the process drains, or input was not read. */
+    /**
+     * The connection's last answer was written: the client asked to close, the process drains, or a part of
+     * the client's input was not read.
+     */
     LAST_ANSWER,
     /** The process is ending, and the connection had no request. */
     UNUSED_AT_END,
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -140,7 +140,10 @@
         Listing.Entry lastEntry;
         /** The server as passed to the modules, kept for later modules; null unless it is listed as up. */
         Server upServer;
-        /** When this proxy was notified that the backend is draining or gone. */
+        /**
+         * The start of the drain's grace period: the earliest time at which the platform may assume that this
+         * proxy knows that the backend is draining or gone.
+         */
         long downSinceUs;
     }
 
@@ -172,7 +175,7 @@
     private long lastRequestId;
     /** From this time on the deadlines of new requests are limited to {@link #deadlineLimitUs}. */
     private long deadlineLimitFromUs = Long.MAX_VALUE;
-    /** The latest deadline of a request received at {@link #deadlineLimitFromUs} or later. */
+    /** The limit for the deadlines of requests received at {@link #deadlineLimitFromUs} or later. */
     private long deadlineLimitUs = Long.MAX_VALUE;
     /** The latest deadline of all requests received so far. */
     private long latestDeadlineUs;
@@ -449,7 +452,8 @@
     /**
      * Applies a list of backends, or changes to it, received from discovery. Times are by the driver's clock.
      *
-     * @param notifiedAtUs the earliest time at which this proxy may count as notified of the changes
+     * @param notifiedAtUs the earliest time at which the platform may assume that this proxy knows the
+     *     changes; may lie before their arrival, for example if calls to discovery have failed
      * @param previousListCurrentUs when the previous list was last known to be current;
      *     {@link Long#MIN_VALUE} if it never was
      */
@@ -760,8 +764,8 @@
     }
 
     /**
-     * Fails a request that the backend rejected as malformed. This counts as no failure of the backend, and
-     * the request is not retried.
+     * Fails a request that the backend rejected as malformed. The rejection is not counted as a failure of
+     * the backend, and the request is not retried.
      */
     private void failMalformed(long nowUs, PendingRequest pending) {
         if (!pending.isAnswered()) {
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -107,9 +107,9 @@
     private final Map<String, Integer> requestClassNumbers = new HashMap<>();
     /** Numbers of the tenants, by name. */
     private final Map<String, Integer> tenantNumbers = new HashMap<>();
-    /** Proven connections without a complete request in progress, the longest silent first. */
+    /** Connections that have carried a valid request and have none in progress, the longest silent first. */
     private final Set<Connection> idleConnections = new LinkedHashSet<>();
-    /** Connections that have not carried a valid request yet, the longest silent first. */
+    /** Unproven connections: those without a valid request so far, the longest silent first. */
     private final Set<Connection> unprovenConnections = new LinkedHashSet<>();
     private final WriteBufferShares writeBufferShares = new WriteBufferShares();
     /** Closes connections after their last answers. */
@@ -119,7 +119,7 @@
     private int openConnections;
     /** Size of the buffered bodies and pipelined messages of all connections. */
     private int bufferedBytes;
-    /** Whether a connection is being read outside the event loop's own read of it. */
+    /** Whether a call of {@link Connection#readNow} is running, on any connection; such calls don't nest. */
     private boolean readingNow;
     private boolean warmedUp;
     private boolean draining;
@@ -380,12 +380,12 @@
         private HttpRequest head;
         /** Whether the current request's body is still being received. */
         private boolean receivingBody;
-        /** The body as received so far, while it may still be a small one; else null. */
+        /** The current body as received so far, while it may be small enough to be buffered; else null. */
         private ByteBuf body;
-        /** The body once it has proved to be large; else null. */
+        /** The current body once it has proved too large to be buffered; else null. */
         private Upload upload;
         private long receivedBodyBytes;
-        /** The current body's part of {@link #bufferedBytes}. */
+        /** The number of bytes of {@link #bufferedBytes} that are reserved for the current request's body. */
         private int reservedBytes;
         /**
          * The time from which the body must arrive at its minimum rate. It lies in the future when the
@@ -449,7 +449,7 @@
             return nowMs() - lastReceivedMs > MIN_SILENCE_MS;
         }
 
-        /** Reads what the system has received, without waiting for the event loop, which may lag. */
+        /** Reads the bytes that the system has received; doesn't wait for the event loop, which may lag. */
         private void readNow() {
             if (!readingNow && channel.isActive() && channel.config().isAutoRead()) {
                 readingNow = true;
@@ -474,8 +474,9 @@
         }
 
         /**
-         * Closes the connection at once, unless a complete request has arrived or an answer is being written.
-         * Returns whether it was closed.
+         * Closes the connection at once, unless a complete request has arrived or an answer is still being
+         * written. An answer that is being written keeps it open only if bytes arrived from the client within
+         * the last {@link #REQUEST_TIMEOUT_MS}. Returns whether it was closed.
          */
         private boolean evict() {
             boolean answered = LingeringClose.unwrittenBytes(channel) == 0
@@ -489,7 +490,7 @@
             return true;
         }
 
-        /** Closes the connection if no complete request head has arrived in time; it gets no answer. */
+        /** Closes the connection unanswered, as no complete request head arrived before the timeout. */
         private void onRequestTimeout() {
             readNow();
             if (!waitingConnections().contains(this)) {
@@ -515,7 +516,7 @@
             requestTimeout = newTimeout;
         }
 
-        /** Notes that bytes arrived, and starts the timeout of the request head that begins with them. */
+        /** Notes that bytes arrived; if they begin a new request head, starts the timeout of that head. */
         private void onBytesReceived() {
             if (waitingConnections().remove(this)) {
                 waitingConnections().add(this);
@@ -691,7 +692,7 @@
             reservedBytes += bytes;
         }
 
-        /** Returns the memory that this connection's body has reserved. */
+        /** Gives back the memory that was reserved for this connection's body. */
         private void releaseReserved() {
             bufferedBytes -= reservedBytes;
             reservedBytes = 0;
@@ -817,7 +818,7 @@
             writing.addListener(done -> delivery.ended(done.isSuccess()));
         }
 
-        /** Sets the answer's Connection header; returns whether the answer is the connection's last. */
+        /** Sets the answer's Connection header; returns whether the connection closes after this answer. */
         private boolean setConnectionHeader(HttpResponse response) {
             boolean last = !keepAlive || receivingBody
                     || (draining || pipelined.hasDropped()) && pipelined.isEmpty();
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -22,7 +22,8 @@
 
 /**
  * Sends health probes to backends when the decision module asks for them. The result of each probe is
- * reported once, at the latest when {@link #PROBE_TIMEOUT_US} has passed. For the proxy's loop only.
+ * reported once, at the latest when {@link #PROBE_TIMEOUT_US} has passed. To be used on the proxy's event
+ * loop only.
  */
 final class HealthProbes {
 
--- a/src/main/java/larkworks/proxy/Invariants.java
+++ b/src/main/java/larkworks/proxy/Invariants.java
@@ -9,8 +9,8 @@
 
 /**
  * Invariants of request handling, checked at run time independently of the code that maintains them. Each
- * violation is counted and logged with the request's id and state, at most once per second and rule. For the
- * proxy's loop only.
+ * violation is counted and logged with the request's id and state, at most once per second and rule. To be
+ * used on the proxy's event loop only.
  */
 final class Invariants {
 
--- a/src/main/java/larkworks/proxy/PendingRequest.java
+++ b/src/main/java/larkworks/proxy/PendingRequest.java
@@ -6,9 +6,10 @@
 import larkworks.proxy.Meters.Result;
 
 /**
- * A request from its dispatch to the driver until it has ended: its answer was written to the client's
- * connection or the client has gone, and its last attempt has ended. {@link PendingRequests} removes it then.
- * To be used on the proxy's event loop only. Times are in microseconds by the driver's clock.
+ * A request that the driver has accepted and that has not ended. It ends once no answer remains to be written
+ * to the client (it was written, can't be written, or the client has gone) and all attempts have ended;
+ * {@link PendingRequests} then removes it. To be used on the proxy's event loop only. Times are in
+ * microseconds by the driver's clock.
  */
 final class PendingRequest {
 
@@ -19,7 +20,7 @@
     /** The decision module that handles this request until it ends. */
     final Driver.DecisionModule module;
     final List<UpstreamAttempt> attempts = new ArrayList<>(2);
-    /** When the driver got the request, which may be some time after it arrived. */
+    /** When the driver received the request, which may be some time after it arrived at the proxy. */
     final long dispatchedUs;
     /** Time by which the client must have its answer; set anew once an upload's last byte has arrived. */
     long deadlineUs;
@@ -34,7 +35,7 @@
     /** How the request was answered; null until then. */
     private Result result;
     private long answeredUs;
-    /** Whether the answer was written, can't be written, or is not wanted any more. */
+    /** Whether the answer was written, can't be written, or is not needed as the client has gone. */
     private boolean delivered;
 
     PendingRequest(String id, Driver.Inbound inbound, Driver.Client client, long dispatchedUs,
@@ -58,7 +59,7 @@
         return result != null;
     }
 
-    /** Records the answer; with {@link Result#GONE} there is none to be written. */
+    /** Records how the request was answered; for {@link Result#GONE} no answer is to be written. */
     void recordAnswer(Result newResult, long nowUs) {
         if (result != null) {
             throw new IllegalStateException("request " + id + " answered twice");
@@ -73,7 +74,7 @@
         delivered = true;
     }
 
-    /** Returns whether the request has ended: its answer is delivered and all attempts have ended. */
+    /** Returns whether all attempts have ended and no answer remains to be written to the client. */
     boolean hasEnded() {
         return delivered && openAttempts == 0;
     }
--- a/src/main/java/larkworks/proxy/PendingRequests.java
+++ b/src/main/java/larkworks/proxy/PendingRequests.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All requests that the driver has accepted and that have not ended, by id. Requests end nowhere else, so a
- * leaked request shows here: without an answer past its deadline ({@link #pastDeadline}), or still present
- * when the process ends ({@link #logAll}). To be used on the proxy's event loop only.
+ * All requests that the driver has accepted and that have not ended, by id. A request is removed only by
+ * {@link #removeIfEnded}, so a leaked request remains here: {@link #pastDeadline} returns it while it has no
+ * answer, and {@link #logAll} logs it when the process ends. To be used on the proxy's event loop only.
  */
 final class PendingRequests {
 
--- a/src/main/java/larkworks/proxy/Sockets.java
+++ b/src/main/java/larkworks/proxy/Sockets.java
@@ -14,7 +14,7 @@
  * Counts the sockets of this process against its descriptor limit and closes connections to stay below it.
  * They are closed in this order: connections that only wait for their clients to close, silent unproven
  * connections, idle connections to backends, idle connections of clients. Connections with a request in
- * flight are kept. Only for the proxy's loop, except {@link #openCount}.
+ * flight are kept. To be used on the proxy's event loop only, except {@link #openCount}.
  */
 final class Sockets {
 
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -58,9 +58,9 @@
     private boolean discarded;
     /** Whether reading from the client is paused. */
     private boolean paused;
-    /** When the current pause began. */
+    /** When the current pause in reading from the client began; valid only during a pause. */
     private long pausedAtNs;
-    /** Duration of all earlier pauses. */
+    /** Duration of all earlier pauses in reading from the client. */
     private long pausedNs;
     private final Runnable onReleased;
     private Runnable onNotRepeatable = () -> { };
@@ -106,7 +106,7 @@
         updateReading();
     }
 
-    /** Stops sending to the backend. */
+    /** Stops sending the body on this channel; has no effect if the body is not being sent on it. */
     void detach(Channel channel) {
         if (backend == channel && channel != null) {
             writeBufferShares.remove(channel);
@@ -171,7 +171,7 @@
         client.config().setAutoRead(true);
     }
 
-    /** Pauses reading from the client while the backend's channel is not writable. */
+    /** Pauses or resumes reading from the client, depending on whether the backend's channel is writable. */
     void updateReading() {
         if (discarded) {
             return;
@@ -186,12 +186,12 @@
         client.config().setAutoRead(writable);
     }
 
-    /** Returns the duration of the current pause; 0 while the client is read. */
+    /** Returns the duration of the current pause in reading from the client; 0 if reading is not paused. */
     long currentPauseMs() {
         return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAtNs);
     }
 
-    /** Returns the duration of all pauses, including the current one. */
+    /** Returns the duration of all pauses in reading from the client, including the current one. */
     long totalPauseMs() {
         return TimeUnit.NANOSECONDS.toMillis(pausedNs) + currentPauseMs();
     }
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -4,8 +4,8 @@
 import larkworks.Balancer.Outcome;
 
 /**
- * An attempt to have a request served by a backend; it passes the result to its listener. For the proxy's
- * loop only; times are in microseconds by the driver's clock.
+ * An attempt to have a request served by a backend; it passes the result to its listener. To be used on the
+ * proxy's event loop only. Times are in microseconds by the driver's clock.
  */
 final class UpstreamAttempt implements BackendPool.Receiver {
 
