--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -149,7 +149,7 @@
      */
     private void retryAfterLocalFailure(InetSocketAddress address, Exchange exchange) {
         exchange.connection = null;
-        if (exchange.done) {
+        if (exchange.ended) {
             return;
         }
         if (exchange.localFailures == MAX_LOCAL_RETRIES) {
@@ -157,7 +157,7 @@
             return;
         }
         loop.schedule(() -> {
-            if (!exchange.done) {
+            if (!exchange.ended) {
                 startExchange(address, exchange);
             }
         }, FIRST_LOCAL_RETRY_DELAY_MS << exchange.localFailures++, TimeUnit.MILLISECONDS);
@@ -296,7 +296,7 @@
         }
 
         /** Called once, when the exchange has ended. */
-        void exchangeEnded(AttemptResult answer);
+        void exchangeEnded(AttemptResult result);
     }
 
     /** Takes the body of a large answer, part by part. */
@@ -329,7 +329,7 @@
         private boolean started;
         /** Whether the request's last byte has been written. */
         private boolean fullyWritten;
-        private boolean done;
+        private boolean ended;
 
         private Exchange(Supplier<HttpRequest> requestSupplier, Receiver receiver) {
             this.requestSupplier = requestSupplier;
@@ -338,8 +338,8 @@
 
         /** Cancels the exchange by closing its connection. The receiver is not notified. */
         void cancel() {
-            if (!done) {
-                done = true;
+            if (!ended) {
+                ended = true;
                 if (connection != null) {
                     connection.channel.close();
                     detachUpload();
@@ -354,7 +354,7 @@
 
         /** Resumes reading of the answer; called when its sink can take more. */
         void resumeReading() {
-            if (!done) {
+            if (!ended) {
                 connection.channel.config().setAutoRead(true);
             }
         }
@@ -365,7 +365,7 @@
         private void write(Connection target) {
             HttpRequest message = null;
             try {
-                message = done ? null : requestSupplier.get();
+                message = ended ? null : requestSupplier.get();
             } catch (RuntimeException e) {
                 // An exception here must not leak the connection: it goes back to the pool below.
                 LOG.atError().addKeyValue("backend", target.address).setCause(e)
@@ -382,20 +382,20 @@
             if (message instanceof Upload.RequestHead head) {
                 upload = head.body();
                 target.channel.write(head);
-                upload.attach(target.channel, sent -> writeEnded(target, sent.isSuccess()));
+                upload.attach(target.channel, sent -> requestWriteEnded(target, sent.isSuccess()));
             } else {
                 target.channel.writeAndFlush(message)
-                        .addListener(sent -> writeEnded(target, sent.isSuccess()));
+                        .addListener(sent -> requestWriteEnded(target, sent.isSuccess()));
             }
         }
 
-        private void writeEnded(Connection used, boolean success) {
+        private void requestWriteEnded(Connection used, boolean success) {
             fullyWritten = success;
             if (!fullyWritten) {
                 // Reported before the close of the connection is processed, which would count as the regular
                 // end of an answer without a declared length.
                 used.channel.close();
-                if (!done) {
+                if (!ended) {
                     used.connectionLost();
                 }
             }
@@ -428,11 +428,11 @@
             end(answer);
         }
 
-        private void end(AttemptResult answer) {
-            if (!done) {
-                done = true;
+        private void end(AttemptResult result) {
+            if (!ended) {
+                ended = true;
                 detachUpload();
-                receiver.exchangeEnded(answer);
+                receiver.exchangeEnded(result);
             }
         }
     }
@@ -688,7 +688,7 @@
          * forwarded.
          */
         private void connectionLost() {
-            if (incoming != null && incoming.sink != null && !currentExchange.done) {
+            if (incoming != null && incoming.sink != null && !currentExchange.ended) {
                 incoming.sink.abort();
             }
             discardIncoming();
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -397,8 +397,8 @@
         }
 
         @Override
-        public void attemptEnded(UpstreamAttempt attempt, AttemptResult answer) {
-            Driver.this.attemptEnded(attempt, answer);
+        public void attemptEnded(UpstreamAttempt attempt, AttemptResult result) {
+            Driver.this.attemptEnded(attempt, result);
         }
     };
 
@@ -426,8 +426,8 @@
     }
 
     /** Logs all requests that have not ended, at level debug. */
-    void logPending(String why) {
-        requests.logAll(why);
+    void logPending(String reason) {
+        requests.logAll(reason);
     }
 
     /** Returns whether at least one backend is listed as up and not in maintenance. */
@@ -724,38 +724,38 @@
                 : Math.max(attempt.sentAtUs, attempt.request.uploadCompletedUs);
     }
 
-    private void attemptEnded(UpstreamAttempt attempt, AttemptResult answer) {
+    private void attemptEnded(UpstreamAttempt attempt, AttemptResult result) {
         if (attempt.ended) {
             return;
         }
-        attempt.markEnded(answer.outcome());
+        attempt.markEnded(result.outcome());
         PendingRequest pending = attempt.request;
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
         if (meters != null) {
-            meters.attemptEnded(attempt.server, attempt.number, answer.outcome(),
+            meters.attemptEnded(attempt.server, attempt.number, result.outcome(),
                     Math.max(0, clock.nowUs() - attempt.sentAtUs));
         }
         if (LOG.isDebugEnabled()) {
             LOG.atDebug().addKeyValue("request", pending.inbound.callId())
                     .addKeyValue("attempt", attempt.number).addKeyValue("backend", attempt.server)
-                    .addKeyValue("outcome", answer.outcome()).log("attempt ended");
+                    .addKeyValue("outcome", result.outcome()).log("attempt ended");
         }
         runEvent(() -> {
             pending.openAttempts--;
-            if (answer.outcome() == Outcome.OK && !pending.isAnswered()) {
+            if (result.outcome() == Outcome.OK && !pending.isAnswered()) {
                 recordResult(pending, Meters.Result.SERVED);
-                pending.client.sendAnswer(answer.body(), answer.contentType(), delivery(pending));
+                pending.client.sendAnswer(result.body(), result.contentType(), delivery(pending));
             }
             long nowUs = clock.nowUs();
             try {
-                if (answer.invalidRequest()) {
+                if (result.invalidRequest()) {
                     failMalformed(nowUs, pending);
                 }
                 pending.module.balancer.outcome(nowUs, pending.id, attempt.number, attempt.server,
-                        answer.invalidRequest() ? Outcome.CANCELLED : answer.outcome(),
-                        nowUs - fullySentAtUs(attempt), pending.isAnswered(), answer.report());
+                        result.invalidRequest() ? Outcome.CANCELLED : result.outcome(),
+                        nowUs - fullySentAtUs(attempt), pending.isAnswered(), result.report());
             } catch (RuntimeException e) {
                 failAfterException(pending, e);
             }
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -120,7 +120,7 @@
     /** Size of the buffered bodies and pipelined messages of all connections. */
     private int bufferedBytes;
     /** Whether a call of {@link Connection#readNow} is running, on any connection; such calls don't nest. */
-    private boolean readingNow;
+    private boolean readNowRunning;
     private boolean warmedUp;
     private boolean draining;
 
@@ -409,7 +409,7 @@
         /** Whether a valid request has arrived; connections without one are closed early, to free sockets. */
         private boolean proven;
         /** Whether bytes have arrived since the last request. */
-        private boolean receivedSinceRequest;
+        private boolean bytesArrivedSinceRequest;
         private long lastReceivedMs = openedMs;
         /** Timer that closes the connection if the client doesn't send the rest of its request in time. */
         private Future<?> requestTimeout;
@@ -436,12 +436,12 @@
             }
             setRequestTimeout(
                     loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
-            waitingConnections().add(this);
+            idleOrUnprovenConnections().add(this);
         }
 
         /** Returns whether no request is in progress and none has begun to arrive. */
         private boolean isUnused() {
-            return !closing && !receivedSinceRequest && head == null && channel.isActive();
+            return !closing && !bytesArrivedSinceRequest && head == null && channel.isActive();
         }
 
         /** Returns whether the connection has been silent for {@link #MIN_SILENCE_MS}. */
@@ -451,12 +451,12 @@
 
         /** Reads the bytes that the system has received; doesn't wait for the event loop, which may lag. */
         private void readNow() {
-            if (!readingNow && channel.isActive() && channel.config().isAutoRead()) {
-                readingNow = true;
+            if (!readNowRunning && channel.isActive() && channel.config().isAutoRead()) {
+                readNowRunning = true;
                 try {
                     ((NioUnsafe) channel.unsafe()).read();
                 } finally {
-                    readingNow = false;
+                    readNowRunning = false;
                 }
             }
         }
@@ -481,7 +481,7 @@
         private boolean evict() {
             boolean answered = LingeringClose.unwrittenBytes(channel) == 0
                     || nowMs() - lastReceivedMs > REQUEST_TIMEOUT_MS;
-            if (!answered || !waitingConnections().remove(this)) {
+            if (!answered || !idleOrUnprovenConnections().remove(this)) {
                 return false;
             }
             releaseReserved();
@@ -493,7 +493,7 @@
         /** Closes the connection unanswered, as no complete request head arrived before the timeout. */
         private void onRequestTimeout() {
             readNow();
-            if (!waitingConnections().contains(this)) {
+            if (!idleOrUnprovenConnections().contains(this)) {
                 return;
             }
             if (LingeringClose.unwrittenBytes(channel) > 0) {
@@ -505,7 +505,7 @@
         }
 
         /** Returns the set that contains this connection while it has no complete request. */
-        private Set<Connection> waitingConnections() {
+        private Set<Connection> idleOrUnprovenConnections() {
             return proven ? idleConnections : unprovenConnections;
         }
 
@@ -518,14 +518,14 @@
 
         /** Notes that bytes arrived; if they begin a new request head, starts the timeout of that head. */
         private void onBytesReceived() {
-            if (waitingConnections().remove(this)) {
-                waitingConnections().add(this);
+            if (idleOrUnprovenConnections().remove(this)) {
+                idleOrUnprovenConnections().add(this);
             }
-            if (!receivedSinceRequest && head == null && proven) {
+            if (!bytesArrivedSinceRequest && head == null && proven) {
                 setRequestTimeout(
                         loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             }
-            receivedSinceRequest = true;
+            bytesArrivedSinceRequest = true;
             lastReceivedMs = nowMs();
         }
 
@@ -725,7 +725,7 @@
             } else if (isHealthCheck()) {
                 answer(healthStatus(head.uri()), null, null);
             } else {
-                waitingConnections().remove(this);
+                idleOrUnprovenConnections().remove(this);
                 proven = true;
                 completeRequest = parsedRequest.withBody(bytes, null, arrivalUs);
                 loop.execute(this::dispatchCompleteRequest);
@@ -754,7 +754,7 @@
         private void dispatch(Driver.Inbound inbound) {
             driver.invariants().check(!closing && channel.isActive(), Rule.NO_REQUEST_AFTER_CLOSE,
                     inbound.callId(), () -> "closing=" + closing + " active=" + channel.isActive());
-            waitingConnections().remove(this);
+            idleOrUnprovenConnections().remove(this);
             proven = true;
             awaitingAnswer = true;
             PendingRequest dispatched = driver.submit(inbound, new Client(this));
@@ -865,7 +865,7 @@
         private void stopProcessing() {
             closing = true;
             completeRequest = null;
-            waitingConnections().remove(this);
+            idleOrUnprovenConnections().remove(this);
             setRequestTimeout(null);
             releaseBody();
             pipelined.clear();
@@ -891,18 +891,18 @@
             head = null;
             pending = null;
             awaitingAnswer = false;
-            receivedSinceRequest = !pipelined.isEmpty();
+            bytesArrivedSinceRequest = !pipelined.isEmpty();
             if (!channel.isActive()) {
                 return;
             }
-            if (pipelined.hasDropped() && !receivedSinceRequest) {
+            if (pipelined.hasDropped() && !bytesArrivedSinceRequest) {
                 writeLastAndClose(Unpooled.EMPTY_BUFFER, CloseReason.TOO_MUCH_AHEAD);
                 return;
             }
-            waitingConnections().add(this);
-            setRequestTimeout(proven && !receivedSinceRequest ? null
+            idleOrUnprovenConnections().add(this);
+            setRequestTimeout(proven && !bytesArrivedSinceRequest ? null
                     : loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
-            if (receivedSinceRequest) {
+            if (bytesArrivedSinceRequest) {
                 loop.execute(this::processPipelined);
             } else {
                 channel.config().setAutoRead(true);
@@ -966,7 +966,7 @@
         /** Whether this is the connection's last answer. */
         private final boolean last;
         /** Number of bytes received from the backend. */
-        private long passedBytes;
+        private long receivedBytes;
         /** Number of bytes written to the client's socket at the latest stall check. */
         private long lastWrittenBytes = -1;
         private Future<?> stallCheck;
@@ -999,7 +999,7 @@
         /** Cuts off a transfer without progress, whether the client or the backend causes the delay. */
         private void scheduleStallCheck() {
             stallCheck = loop.schedule(() -> {
-                long writtenBytes = passedBytes - LingeringClose.unwrittenBytes(channel);
+                long writtenBytes = receivedBytes - LingeringClose.unwrittenBytes(channel);
                 if (writtenBytes == lastWrittenBytes) {
                     connection.closeNow(CloseReason.ANSWER_STALLED);
                 } else {
@@ -1011,7 +1011,7 @@
 
         @Override
         public boolean write(ByteBuf content) {
-            passedBytes += content.readableBytes();
+            receivedBytes += content.readableBytes();
             channel.write(new DefaultHttpContent(content));
             return channel.isWritable();
         }
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -97,7 +97,7 @@
         try {
             probe.exchange = pool.startExchange(address,
                     () -> excluded.getAsBoolean() ? null : buildRequest(address),
-                    answer -> finish(probe, answer));
+                    result -> finish(probe, result));
         } catch (RuntimeException e) {
             LOG.atError().addKeyValue("backend", server).setCause(e).log("failed to start the probe");
             finish(probe, AttemptResult.of(Outcome.NOT_SENT));
@@ -129,22 +129,22 @@
         return message;
     }
 
-    private void finish(Probe probe, AttemptResult answer) {
+    private void finish(Probe probe, AttemptResult result) {
         if (!pendingProbes.remove(probe)) {
             return;
         }
         probe.timeout.cancel(false);
-        probe.listener.probeEnded(probe.server, answer.outcome(), clock.nowUs() - probe.sentAtUs,
-                loadReport(answer));
+        probe.listener.probeEnded(probe.server, result.outcome(), clock.nowUs() - probe.sentAtUs,
+                loadReport(result));
     }
 
     /**
      * Returns the load from the answer's header or, if the header is missing, from its body; null if unknown.
      */
-    private LoadReport loadReport(AttemptResult answer) {
-        if (answer.report() != null || !requestLoadReports) {
-            return answer.report();
+    private LoadReport loadReport(AttemptResult result) {
+        if (result.report() != null || !requestLoadReports) {
+            return result.report();
         }
-        return BackendPool.parseLoadReport(BackendPool.asciiText(answer.body()));
+        return BackendPool.parseLoadReport(BackendPool.asciiText(result.body()));
     }
 }
--- a/src/main/java/larkworks/proxy/PendingRequests.java
+++ b/src/main/java/larkworks/proxy/PendingRequests.java
@@ -59,12 +59,13 @@
     }
 
     /** Logs each pending request at debug level, with the reason for logging them. */
-    void logAll(String why) {
+    void logAll(String reason) {
         if (!LOG.isDebugEnabled()) {
             return;
         }
         long now = clock.nowUs();
         byId.values().forEach(request -> LOG.atDebug().addKeyValue("request", request.inbound.callId())
-                .addKeyValue("why", why).addKeyValue("state", request.describe(now)).log("request pending"));
+                .addKeyValue("why", reason).addKeyValue("state", request.describe(now))
+                .log("request pending"));
     }
 }
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -57,11 +57,11 @@
     private boolean complete;
     private boolean discarded;
     /** Whether reading from the client is paused. */
-    private boolean paused;
+    private boolean readingPaused;
     /** When the current pause in reading from the client began; valid only during a pause. */
-    private long pausedAtNs;
+    private long pauseStartNs;
     /** Duration of all earlier pauses in reading from the client. */
-    private long pausedNs;
+    private long earlierPausesNs;
     private final Runnable onReleased;
     private Runnable onNotRepeatable = () -> { };
 
@@ -177,23 +177,23 @@
             return;
         }
         boolean writable = backend == null || backend.isWritable();
-        if (writable && paused) {
-            pausedNs += System.nanoTime() - pausedAtNs;
-        } else if (!writable && !paused) {
-            pausedAtNs = System.nanoTime();
+        if (writable && readingPaused) {
+            earlierPausesNs += System.nanoTime() - pauseStartNs;
+        } else if (!writable && !readingPaused) {
+            pauseStartNs = System.nanoTime();
         }
-        paused = !writable;
+        readingPaused = !writable;
         client.config().setAutoRead(writable);
     }
 
     /** Returns the duration of the current pause in reading from the client; 0 if reading is not paused. */
     long currentPauseMs() {
-        return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAtNs);
+        return !readingPaused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pauseStartNs);
     }
 
     /** Returns the duration of all pauses in reading from the client, including the current one. */
     long totalPauseMs() {
-        return TimeUnit.NANOSECONDS.toMillis(pausedNs) + currentPauseMs();
+        return TimeUnit.NANOSECONDS.toMillis(earlierPausesNs) + currentPauseMs();
     }
 
     /** Writes the buffered bytes that the current backend has not been sent yet. */
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -23,7 +23,7 @@
         long maxBufferingUs(UpstreamAttempt attempt);
 
         /** Called when the attempt's exchange has ended. */
-        void attemptEnded(UpstreamAttempt attempt, AttemptResult answer);
+        void attemptEnded(UpstreamAttempt attempt, AttemptResult result);
     }
 
     final PendingRequest request;
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void exchangeEnded(AttemptResult answer) {
-        listener.attemptEnded(this, answer);
+    public void exchangeEnded(AttemptResult result) {
+        listener.attemptEnded(this, result);
     }
 }
