--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -179,9 +179,9 @@
     private long deadlineLimitUs = Long.MAX_VALUE;
     /** The latest deadline of all requests received so far. */
     private long latestDeadlineUs;
-    /** True while {@link #runEvent} runs an event. */
+    /** Whether {@link #runEvent} is running an event; further events are queued meanwhile. */
     private boolean handlingEvent;
-    /** Run when the newest module asks discovery to report changes. */
+    /** Action to run when the newest module asks discovery to report changes of the list. */
     private Runnable watchAction = () -> { };
     /** Null if metrics are disabled. */
     private final Meters meters;
@@ -613,8 +613,8 @@
 
     /**
      * Limits deadlines ahead of a shutdown, in which the process may be killed at any time after
-     * {@code maxDeadlineUs}: requests received at {@code fromUs} or later get that time as their deadline
-     * at the latest.
+     * {@code maxDeadlineUs}: the deadline of a request received at {@code fromUs} or later is at most
+     * {@code maxDeadlineUs}.
      */
     void limitDeadlines(long fromUs, long maxDeadlineUs) {
         deadlineLimitFromUs = fromUs;
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -112,7 +112,7 @@
     /** Unproven connections: those without a valid request so far, the longest silent first. */
     private final Set<Connection> unprovenConnections = new LinkedHashSet<>();
     private final WriteBufferShares writeBufferShares = new WriteBufferShares();
-    /** Closes connections after their last answers. */
+    /** Closes connections once their last answers have been written. */
     private final LingeringClose lingering;
     private TcpListener listener;
     private Consumer<SystemError> onAcceptFailure = error -> { };
@@ -396,7 +396,7 @@
         private Driver.Inbound parsedRequest;
         private RejectedException rejection;
         private boolean keepAlive;
-        /** A complete request, until everything received in the same loop turn has been read; else null. */
+        /** A complete request, until all bytes received in the same loop turn have been read; else null. */
         private Driver.Inbound completeRequest;
         /** Whether the driver has the current request and hasn't answered it yet. */
         private boolean awaitingAnswer;
@@ -861,7 +861,7 @@
             }
         }
 
-        /** Ends request processing: releases all buffers, and drops messages that arrive from now on. */
+        /** Ends request processing: releases all buffers; messages that arrive later are dropped. */
         private void stopProcessing() {
             closing = true;
             completeRequest = null;
@@ -909,7 +909,7 @@
             }
         }
 
-        /** Processes queued messages until one completes a request. */
+        /** Processes pipelined messages until one completes a request. */
         private void processPipelined() {
             while (!pipelined.isEmpty() && !closing && (head == null || receivingBody)) {
                 PipelinedMessages.Entry first = pipelined.poll();
--- a/src/main/java/larkworks/proxy/HealthProbes.java
+++ b/src/main/java/larkworks/proxy/HealthProbes.java
@@ -139,7 +139,7 @@
     }
 
     /**
-     * Returns the load from the answer's header or, if the header is missing, from its body; null if unknown.
+     * Returns the load from the answer's header or, if that is missing, from its body; null if unknown.
      */
     private LoadReport loadReport(AttemptResult result) {
         if (result.report() != null || !requestLoadReports) {
--- a/src/main/java/larkworks/proxy/PipelinedMessages.java
+++ b/src/main/java/larkworks/proxy/PipelinedMessages.java
@@ -44,7 +44,7 @@
         this.changeTotal = changeTotal;
     }
 
-    /** Adds a message; false if it and all later ones are dropped because one has exceeded a limit. */
+    /** Adds a message. Returns false if it is dropped, as are all messages once one has exceeded a limit. */
     boolean add(HttpObject message, long arrivalUs) {
         Entry entry = new Entry(message, arrivalUs);
         if (dropped || sizeBytes + entry.sizeBytes() > MAX_BYTES
--- a/src/main/java/larkworks/proxy/Sockets.java
+++ b/src/main/java/larkworks/proxy/Sockets.java
@@ -22,7 +22,7 @@
     private static final int RESERVED_DESCRIPTORS = 48;
 
     private final int limit;
-    /** The number of descriptors for connections that are not counted here. */
+    /** The number of descriptors left to connections that this class does not count. */
     private final int uncounted;
     /** The maximum number of counted sockets. */
     private int maxOpen;
@@ -41,7 +41,7 @@
      * Creates a count of sockets with a limit.
      *
      * @param limit the number of descriptors that this process may use
-     * @param uncounted how many of them are for connections that are not counted here
+     * @param uncounted how many of them are left to connections that this class does not count
      */
     Sockets(int limit, int uncounted) {
         this.limit = limit;
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Closes the most dispensable connection; returns false if none can be closed. */
+    /** Closes one connection, in the order of the class comment; returns false if none can be closed. */
     boolean evictOne() {
         return evictors.stream().anyMatch(BooleanSupplier::getAsBoolean);
     }
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -18,9 +18,9 @@
  * A request body that is too large to be buffered whole, passed from a client to a backend as it arrives. The
  * bytes received before a backend is attached are buffered, and can be sent again to another backend until
  * more than {@link BackendPool#MAX_BUFFERED_BODY_BYTES} bytes were written to one; later bytes are written as
- * they arrive. While no backend is attached the client is still read, within the common limit of buffered
- * bodies, as only reading shows that it has gone. Otherwise the client is read only while the backend's
- * channel is writable.
+ * they arrive. While no backend is attached the client is still read, as only reading shows that it has gone;
+ * the limit of buffered bytes that all connections share applies. Otherwise the client is read only while the
+ * backend's channel is writable.
  */
 final class Upload {
 
