--- a/src/main/java/larkworks/proxy/BackendPool.java
+++ b/src/main/java/larkworks/proxy/BackendPool.java
@@ -43,8 +43,8 @@
 
 /**
  * A pool of keep-alive connections to backends. Each connection carries one exchange at a time, and each
- * exchange reports how it ended to its receiver. The pool never repeats a request by itself. For the proxy's
- * loop only.
+ * exchange reports how it ended to its receiver. The pool never repeats a request by itself. To be used on
+ * the proxy's event loop only.
  */
 final class BackendPool {
 
@@ -149,7 +149,7 @@
      */
     private void retryAfterLocalFailure(InetSocketAddress address, Exchange exchange) {
         exchange.connection = null;
-        if (exchange.done) {
+        if (exchange.ended) {
             return;
         }
         if (exchange.localFailures == MAX_LOCAL_RETRIES) {
@@ -157,7 +157,7 @@
             return;
         }
         loop.schedule(() -> {
-            if (!exchange.done) {
+            if (!exchange.ended) {
                 startExchange(address, exchange);
             }
         }, FIRST_LOCAL_RETRY_DELAY_MS << exchange.localFailures++, TimeUnit.MILLISECONDS);
@@ -289,21 +289,21 @@
 
         /**
          * Returns for how long an answer of unknown length is buffered, in case it is small enough to be
-         * delivered as a whole. Negative: until it is complete or exceeds {@link #MAX_BUFFERED_BODY_BYTES}.
+         * passed on as a whole. Negative: until it is complete or exceeds {@link #MAX_BUFFERED_BODY_BYTES}.
          */
         default long maxBufferingUs() {
             return -1;
         }
 
         /** Called once, when the exchange has ended. */
-        void exchangeEnded(AttemptResult answer);
+        void exchangeEnded(AttemptResult result);
     }
 
     /** Takes the body of a large answer, part by part. */
     interface AnswerSink {
 
         /**
-         * Takes ownership of the next part. Returns false if no further part should be delivered until
+         * Takes ownership of the next part. Returns false if no further part should be passed until
          * {@link Exchange#resumeReading} is called.
          */
         boolean write(ByteBuf content);
@@ -311,10 +311,10 @@
         /** Flushes the parts written so far; called when no more bytes are available to read. */
         void flush();
 
-        /** Completes the body: all of its parts have been delivered. */
+        /** Completes the body: all of its parts have been passed to {@link #write}. */
         void complete();
 
-        /** Aborts the body: it is incomplete, and no further part will be delivered. */
+        /** Aborts the body: it is incomplete, and no further part follows. */
         void abort();
     }
 
@@ -329,7 +329,7 @@
         private boolean started;
         /** Whether the request's last byte has been written. */
         private boolean fullyWritten;
-        private boolean done;
+        private boolean ended;
 
         private Exchange(Supplier<HttpRequest> requestSupplier, Receiver receiver) {
             this.requestSupplier = requestSupplier;
@@ -338,8 +338,8 @@
 
         /** Cancels the exchange by closing its connection. The receiver is not notified. */
         void cancel() {
-            if (!done) {
-                done = true;
+            if (!ended) {
+                ended = true;
                 if (connection != null) {
                     connection.channel.close();
                     detachUpload();
@@ -354,7 +354,7 @@
 
         /** Resumes reading of the answer; called when its sink can take more. */
         void resumeReading() {
-            if (!done) {
+            if (!ended) {
                 connection.channel.config().setAutoRead(true);
             }
         }
@@ -365,7 +365,7 @@
         private void write(Connection target) {
             HttpRequest message = null;
             try {
-                message = done ? null : requestSupplier.get();
+                message = ended ? null : requestSupplier.get();
             } catch (RuntimeException e) {
                 // An exception here must not leak the connection: it goes back to the pool below.
                 LOG.atError().addKeyValue("backend", target.address).setCause(e)
@@ -382,20 +382,20 @@
             if (message instanceof Upload.RequestHead head) {
                 upload = head.body();
                 target.channel.write(head);
-                upload.attach(target.channel, sent -> writeEnded(target, sent.isSuccess()));
+                upload.attach(target.channel, sent -> requestWriteEnded(target, sent.isSuccess()));
             } else {
                 target.channel.writeAndFlush(message)
-                        .addListener(sent -> writeEnded(target, sent.isSuccess()));
+                        .addListener(sent -> requestWriteEnded(target, sent.isSuccess()));
             }
         }
 
-        private void writeEnded(Connection used, boolean success) {
+        private void requestWriteEnded(Connection used, boolean success) {
             fullyWritten = success;
             if (!fullyWritten) {
                 // Reported before the close of the connection is processed, which would count as the regular
                 // end of an answer without a declared length.
                 used.channel.close();
-                if (!done) {
+                if (!ended) {
                     used.connectionLost();
                 }
             }
@@ -428,11 +428,11 @@
             end(answer);
         }
 
-        private void end(AttemptResult answer) {
-            if (!done) {
-                done = true;
+        private void end(AttemptResult result) {
+            if (!ended) {
+                ended = true;
                 detachUpload();
-                receiver.exchangeEnded(answer);
+                receiver.exchangeEnded(result);
             }
         }
     }
@@ -476,7 +476,7 @@
                     status.equals(HttpResponseStatus.BAD_REQUEST));
         }
 
-        /** Releases the buffered body and cancels the timer of the buffering. */
+        /** Releases the buffered body and cancels the timer that limits how long it is buffered. */
         void release() {
             buffered.release();
             if (bufferingTimer != null) {
@@ -688,7 +688,7 @@
          * forwarded.
          */
         private void connectionLost() {
-            if (incoming != null && incoming.sink != null && !currentExchange.done) {
+            if (incoming != null && incoming.sink != null && !currentExchange.ended) {
                 incoming.sink.abort();
             }
             discardIncoming();
--- a/src/main/java/larkworks/proxy/Driver.java
+++ b/src/main/java/larkworks/proxy/Driver.java
@@ -140,7 +140,10 @@
         Listing.Entry lastEntry;
         /** The server as passed to the modules, kept for later modules; null unless it is listed as up. */
         Server upServer;
-        /** When this proxy was notified that the backend is draining or gone. */
+        /**
+         * The start of the drain's grace period: the earliest time at which the platform may assume that this
+         * proxy knows that the backend is draining or gone.
+         */
         long downSinceUs;
     }
 
@@ -172,13 +175,13 @@
     private long lastRequestId;
     /** From this time on the deadlines of new requests are limited to {@link #deadlineLimitUs}. */
     private long deadlineLimitFromUs = Long.MAX_VALUE;
-    /** The latest deadline of a request received at {@link #deadlineLimitFromUs} or later. */
+    /** The limit for the deadlines of requests received at {@link #deadlineLimitFromUs} or later. */
     private long deadlineLimitUs = Long.MAX_VALUE;
     /** The latest deadline of all requests received so far. */
     private long latestDeadlineUs;
-    /** True while {@link #runEvent} runs an event. */
+    /** Whether {@link #runEvent} is running an event; further events are queued meanwhile. */
     private boolean handlingEvent;
-    /** Run when the newest module asks discovery to report changes. */
+    /** Action to run when the newest module asks discovery to report changes of the list. */
     private Runnable watchAction = () -> { };
     /** Null if metrics are disabled. */
     private final Meters meters;
@@ -394,8 +397,8 @@
         }
 
         @Override
-        public void attemptEnded(UpstreamAttempt attempt, AttemptResult answer) {
-            Driver.this.attemptEnded(attempt, answer);
+        public void attemptEnded(UpstreamAttempt attempt, AttemptResult result) {
+            Driver.this.attemptEnded(attempt, result);
         }
     };
 
@@ -423,8 +426,8 @@
     }
 
     /** Logs all requests that have not ended, at level debug. */
-    void logPending(String why) {
-        requests.logAll(why);
+    void logPending(String reason) {
+        requests.logAll(reason);
     }
 
     /** Returns whether at least one backend is listed as up and not in maintenance. */
@@ -449,7 +452,8 @@
     /**
      * Applies a list of backends, or changes to it, received from discovery. Times are by the driver's clock.
      *
-     * @param notifiedAtUs the earliest time at which this proxy may count as notified of the changes
+     * @param notifiedAtUs the earliest time at which the platform may assume that this proxy knows the
+     *     changes; may lie before their arrival, for example if calls to discovery have failed
      * @param previousListCurrentUs when the previous list was last known to be current;
      *     {@link Long#MIN_VALUE} if it never was
      */
@@ -609,8 +613,8 @@
 
     /**
      * Limits deadlines ahead of a shutdown, in which the process may be killed at any time after
-     * {@code maxDeadlineUs}: requests received at {@code fromUs} or later get that time as their deadline
-     * at the latest.
+     * {@code maxDeadlineUs}: the deadline of a request received at {@code fromUs} or later is at most
+     * {@code maxDeadlineUs}.
      */
     void limitDeadlines(long fromUs, long maxDeadlineUs) {
         deadlineLimitFromUs = fromUs;
@@ -720,38 +724,38 @@
                 : Math.max(attempt.sentAtUs, attempt.request.uploadCompletedUs);
     }
 
-    private void attemptEnded(UpstreamAttempt attempt, AttemptResult answer) {
+    private void attemptEnded(UpstreamAttempt attempt, AttemptResult result) {
         if (attempt.ended) {
             return;
         }
-        attempt.markEnded(answer.outcome());
+        attempt.markEnded(result.outcome());
         PendingRequest pending = attempt.request;
         if (attempt.timeout != null) {
             attempt.timeout.cancel(false);
         }
         if (meters != null) {
-            meters.attemptEnded(attempt.server, attempt.number, answer.outcome(),
+            meters.attemptEnded(attempt.server, attempt.number, result.outcome(),
                     Math.max(0, clock.nowUs() - attempt.sentAtUs));
         }
         if (LOG.isDebugEnabled()) {
             LOG.atDebug().addKeyValue("request", pending.inbound.callId())
                     .addKeyValue("attempt", attempt.number).addKeyValue("backend", attempt.server)
-                    .addKeyValue("outcome", answer.outcome()).log("attempt ended");
+                    .addKeyValue("outcome", result.outcome()).log("attempt ended");
         }
         runEvent(() -> {
             pending.openAttempts--;
-            if (answer.outcome() == Outcome.OK && !pending.isAnswered()) {
+            if (result.outcome() == Outcome.OK && !pending.isAnswered()) {
                 recordResult(pending, Meters.Result.SERVED);
-                pending.client.sendAnswer(answer.body(), answer.contentType(), delivery(pending));
+                pending.client.sendAnswer(result.body(), result.contentType(), delivery(pending));
             }
             long nowUs = clock.nowUs();
             try {
-                if (answer.invalidRequest()) {
+                if (result.invalidRequest()) {
                     failMalformed(nowUs, pending);
                 }
                 pending.module.balancer.outcome(nowUs, pending.id, attempt.number, attempt.server,
-                        answer.invalidRequest() ? Outcome.CANCELLED : answer.outcome(),
-                        nowUs - fullySentAtUs(attempt), pending.isAnswered(), answer.report());
+                        result.invalidRequest() ? Outcome.CANCELLED : result.outcome(),
+                        nowUs - fullySentAtUs(attempt), pending.isAnswered(), result.report());
             } catch (RuntimeException e) {
                 failAfterException(pending, e);
             }
@@ -760,8 +764,8 @@
     }
 
     /**
-     * Fails a request that the backend rejected as malformed. This counts as no failure of the backend, and
-     * the request is not retried.
+     * Fails a request that the backend rejected as malformed. The rejection is not counted as a failure of
+     * the backend, and the request is not retried.
      */
     private void failMalformed(long nowUs, PendingRequest pending) {
         if (!pending.isAnswered()) {
--- a/src/main/java/larkworks/proxy/Frontend.java
+++ b/src/main/java/larkworks/proxy/Frontend.java
@@ -107,20 +107,20 @@
     private final Map<String, Integer> requestClassNumbers = new HashMap<>();
     /** Numbers of the tenants, by name. */
     private final Map<String, Integer> tenantNumbers = new HashMap<>();
-    /** Proven connections without a complete request in progress, the longest silent first. */
+    /** Connections that have carried a valid request and have none in progress, the longest silent first. */
     private final Set<Connection> idleConnections = new LinkedHashSet<>();
-    /** Connections that have not carried a valid request yet, the longest silent first. */
+    /** Unproven connections: those without a valid request so far, the longest silent first. */
     private final Set<Connection> unprovenConnections = new LinkedHashSet<>();
     private final WriteBufferShares writeBufferShares = new WriteBufferShares();
-    /** Closes connections after their last answers. */
+    /** Closes connections once their last answers have been written. */
     private final LingeringClose lingering;
     private TcpListener listener;
     private Consumer<SystemError> onAcceptFailure = error -> { };
     private int openConnections;
     /** Size of the buffered bodies and pipelined messages of all connections. */
     private int bufferedBytes;
-    /** Whether a connection is being read outside the event loop's own read of it. */
-    private boolean readingNow;
+    /** Whether a call of {@link Connection#readNow} is running, on any connection; such calls don't nest. */
+    private boolean readNowRunning;
     private boolean warmedUp;
     private boolean draining;
 
@@ -380,12 +380,12 @@
         private HttpRequest head;
         /** Whether the current request's body is still being received. */
         private boolean receivingBody;
-        /** The body as received so far, while it may still be a small one; else null. */
+        /** The current body as received so far, while it may be small enough to be buffered; else null. */
         private ByteBuf body;
-        /** The body once it has proved to be large; else null. */
+        /** The current body once it has proved too large to be buffered; else null. */
         private Upload upload;
         private long receivedBodyBytes;
-        /** The current body's part of {@link #bufferedBytes}. */
+        /** The number of bytes of {@link #bufferedBytes} that are reserved for the current request's body. */
         private int reservedBytes;
         /**
          * The time from which the body must arrive at its minimum rate. It lies in the future when the
@@ -396,7 +396,7 @@
         private Driver.Inbound parsedRequest;
         private RejectedException rejection;
         private boolean keepAlive;
-        /** A complete request, until everything received in the same loop turn has been read; else null. */
+        /** A complete request, until all bytes received in the same loop turn have been read; else null. */
         private Driver.Inbound completeRequest;
         /** Whether the driver has the current request and hasn't answered it yet. */
         private boolean awaitingAnswer;
@@ -409,7 +409,7 @@
         /** Whether a valid request has arrived; connections without one are closed early, to free sockets. */
         private boolean proven;
         /** Whether bytes have arrived since the last request. */
-        private boolean receivedSinceRequest;
+        private boolean bytesArrivedSinceRequest;
         private long lastReceivedMs = openedMs;
         /** Timer that closes the connection if the client doesn't send the rest of its request in time. */
         private Future<?> requestTimeout;
@@ -436,12 +436,12 @@
             }
             setRequestTimeout(
                     loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
-            waitingConnections().add(this);
+            idleOrUnprovenConnections().add(this);
         }
 
         /** Returns whether no request is in progress and none has begun to arrive. */
         private boolean isUnused() {
-            return !closing && !receivedSinceRequest && head == null && channel.isActive();
+            return !closing && !bytesArrivedSinceRequest && head == null && channel.isActive();
         }
 
         /** Returns whether the connection has been silent for {@link #MIN_SILENCE_MS}. */
@@ -449,14 +449,14 @@
             return nowMs() - lastReceivedMs > MIN_SILENCE_MS;
         }
 
-        /** Reads what the system has received, without waiting for the event loop, which may lag. */
+        /** Reads the bytes that the system has received; doesn't wait for the event loop, which may lag. */
         private void readNow() {
-            if (!readingNow && channel.isActive() && channel.config().isAutoRead()) {
-                readingNow = true;
+            if (!readNowRunning && channel.isActive() && channel.config().isAutoRead()) {
+                readNowRunning = true;
                 try {
                     ((NioUnsafe) channel.unsafe()).read();
                 } finally {
-                    readingNow = false;
+                    readNowRunning = false;
                 }
             }
         }
@@ -474,13 +474,14 @@
         }
 
         /**
-         * Closes the connection at once, unless a complete request has arrived or an answer is being written.
-         * Returns whether it was closed.
+         * Closes the connection at once, unless a complete request has arrived or an answer is still being
+         * written. An answer that is being written keeps it open only if bytes arrived from the client within
+         * the last {@link #REQUEST_TIMEOUT_MS}. Returns whether it was closed.
          */
         private boolean evict() {
             boolean answered = LingeringClose.unwrittenBytes(channel) == 0
                     || nowMs() - lastReceivedMs > REQUEST_TIMEOUT_MS;
-            if (!answered || !waitingConnections().remove(this)) {
+            if (!answered || !idleOrUnprovenConnections().remove(this)) {
                 return false;
             }
             releaseReserved();
@@ -489,10 +490,10 @@
             return true;
         }
 
-        /** Closes the connection if no complete request head has arrived in time; it gets no answer. */
+        /** Closes the connection unanswered, as no complete request head arrived before the timeout. */
         private void onRequestTimeout() {
             readNow();
-            if (!waitingConnections().contains(this)) {
+            if (!idleOrUnprovenConnections().contains(this)) {
                 return;
             }
             if (LingeringClose.unwrittenBytes(channel) > 0) {
@@ -504,7 +505,7 @@
         }
 
         /** Returns the set that contains this connection while it has no complete request. */
-        private Set<Connection> waitingConnections() {
+        private Set<Connection> idleOrUnprovenConnections() {
             return proven ? idleConnections : unprovenConnections;
         }
 
@@ -515,16 +516,16 @@
             requestTimeout = newTimeout;
         }
 
-        /** Notes that bytes arrived, and starts the timeout of the request head that begins with them. */
+        /** Notes that bytes arrived; if they begin a new request head, starts the timeout of that head. */
         private void onBytesReceived() {
-            if (waitingConnections().remove(this)) {
-                waitingConnections().add(this);
+            if (idleOrUnprovenConnections().remove(this)) {
+                idleOrUnprovenConnections().add(this);
             }
-            if (!receivedSinceRequest && head == null && proven) {
+            if (!bytesArrivedSinceRequest && head == null && proven) {
                 setRequestTimeout(
                         loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
             }
-            receivedSinceRequest = true;
+            bytesArrivedSinceRequest = true;
             lastReceivedMs = nowMs();
         }
 
@@ -691,7 +692,7 @@
             reservedBytes += bytes;
         }
 
-        /** Returns the memory that this connection's body has reserved. */
+        /** Gives back the memory that was reserved for this connection's body. */
         private void releaseReserved() {
             bufferedBytes -= reservedBytes;
             reservedBytes = 0;
@@ -724,7 +725,7 @@
             } else if (isHealthCheck()) {
                 answer(healthStatus(head.uri()), null, null);
             } else {
-                waitingConnections().remove(this);
+                idleOrUnprovenConnections().remove(this);
                 proven = true;
                 completeRequest = parsedRequest.withBody(bytes, null, arrivalUs);
                 loop.execute(this::dispatchCompleteRequest);
@@ -753,7 +754,7 @@
         private void dispatch(Driver.Inbound inbound) {
             driver.invariants().check(!closing && channel.isActive(), Rule.NO_REQUEST_AFTER_CLOSE,
                     inbound.callId(), () -> "closing=" + closing + " active=" + channel.isActive());
-            waitingConnections().remove(this);
+            idleOrUnprovenConnections().remove(this);
             proven = true;
             awaitingAnswer = true;
             PendingRequest dispatched = driver.submit(inbound, new Client(this));
@@ -817,7 +818,7 @@
             writing.addListener(done -> delivery.ended(done.isSuccess()));
         }
 
-        /** Sets the answer's Connection header; returns whether the answer is the connection's last. */
+        /** Sets the answer's Connection header; returns whether the connection closes after this answer. */
         private boolean setConnectionHeader(HttpResponse response) {
             boolean last = !keepAlive || receivingBody
                     || (draining || pipelined.hasDropped()) && pipelined.isEmpty();
@@ -860,11 +861,11 @@
             }
         }
 
-        /** Ends request processing: releases all buffers, and drops messages that arrive from now on. */
+        /** Ends request processing: releases all buffers; messages that arrive later are dropped. */
         private void stopProcessing() {
             closing = true;
             completeRequest = null;
-            waitingConnections().remove(this);
+            idleOrUnprovenConnections().remove(this);
             setRequestTimeout(null);
             releaseBody();
             pipelined.clear();
@@ -890,25 +891,25 @@
             head = null;
             pending = null;
             awaitingAnswer = false;
-            receivedSinceRequest = !pipelined.isEmpty();
+            bytesArrivedSinceRequest = !pipelined.isEmpty();
             if (!channel.isActive()) {
                 return;
             }
-            if (pipelined.hasDropped() && !receivedSinceRequest) {
+            if (pipelined.hasDropped() && !bytesArrivedSinceRequest) {
                 writeLastAndClose(Unpooled.EMPTY_BUFFER, CloseReason.TOO_MUCH_AHEAD);
                 return;
             }
-            waitingConnections().add(this);
-            setRequestTimeout(proven && !receivedSinceRequest ? null
+            idleOrUnprovenConnections().add(this);
+            setRequestTimeout(proven && !bytesArrivedSinceRequest ? null
                     : loop.schedule(this::onRequestTimeout, REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS));
-            if (receivedSinceRequest) {
+            if (bytesArrivedSinceRequest) {
                 loop.execute(this::processPipelined);
             } else {
                 channel.config().setAutoRead(true);
             }
         }
 
-        /** Processes queued messages until one completes a request. */
+        /** Processes pipelined messages until one completes a request. */
         private void processPipelined() {
             while (!pipelined.isEmpty() && !closing && (head == null || receivingBody)) {
                 PipelinedMessages.Entry first = pipelined.poll();
@@ -965,7 +966,7 @@
         /** Whether this is the connection's last answer. */
         private final boolean last;
         /** Number of bytes received from the backend. */
-        private long passedBytes;
+        private long receivedBytes;
         /** Number of bytes written to the client's socket at the latest stall check. */
         private long lastWrittenBytes = -1;
         private Future<?> stallCheck;
@@ -998,7 +999,7 @@
         /** Cuts off a transfer without progress, whether the client or the backend causes the delay. */
         private void scheduleStallCheck() {
             stallCheck = loop.schedule(() -> {
-                long writtenBytes = passedBytes - LingeringClose.unwrittenBytes(channel);
+                long writtenBytes = receivedBytes - LingeringClose.unwrittenBytes(channel);
                 if (writtenBytes == lastWrittenBytes) {
                     connection.closeNow(CloseReason.ANSWER_STALLED);
                 } else {
@@ -1010,7 +1011,7 @@
 
         @Override
         public boolean write(ByteBuf content) {
-            passedBytes += content.readableBytes();
+            receivedBytes += content.readableBytes();
             channel.write(new DefaultHttpContent(content));
             return channel.isWritable();
         }
--- a/src/main/java/larkworks/proxy/PendingRequests.java
+++ b/src/main/java/larkworks/proxy/PendingRequests.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * All requests that the driver has accepted and that have not ended, by id. Requests end nowhere else, so a
- * leaked request shows here: without an answer past its deadline ({@link #pastDeadline}), or still present
- * when the process ends ({@link #logAll}). To be used on the proxy's event loop only.
+ * All requests that the driver has accepted and that have not ended, by id. A request is removed only by
+ * {@link #removeIfEnded}, so a leaked request remains here: {@link #pastDeadline} returns it while it has no
+ * answer, and {@link #logAll} logs it when the process ends. To be used on the proxy's event loop only.
  */
 final class PendingRequests {
 
@@ -59,12 +59,13 @@
     }
 
     /** Logs each pending request at debug level, with the reason for logging them. */
-    void logAll(String why) {
+    void logAll(String reason) {
         if (!LOG.isDebugEnabled()) {
             return;
         }
         long now = clock.nowUs();
         byId.values().forEach(request -> LOG.atDebug().addKeyValue("request", request.inbound.callId())
-                .addKeyValue("why", why).addKeyValue("state", request.describe(now)).log("request pending"));
+                .addKeyValue("why", reason).addKeyValue("state", request.describe(now))
+                .log("request pending"));
     }
 }
--- a/src/main/java/larkworks/proxy/Sockets.java
+++ b/src/main/java/larkworks/proxy/Sockets.java
@@ -14,7 +14,7 @@
  * Counts the sockets of this process against its descriptor limit and closes connections to stay below it.
  * They are closed in this order: connections that only wait for their clients to close, silent unproven
  * connections, idle connections to backends, idle connections of clients. Connections with a request in
- * flight are kept. Only for the proxy's loop, except {@link #openCount}.
+ * flight are kept. To be used on the proxy's event loop only, except {@link #openCount}.
  */
 final class Sockets {
 
@@ -22,7 +22,7 @@
     private static final int RESERVED_DESCRIPTORS = 48;
 
     private final int limit;
-    /** The number of descriptors for connections that are not counted here. */
+    /** The number of descriptors left to connections that this class does not count. */
     private final int uncounted;
     /** The maximum number of counted sockets. */
     private int maxOpen;
@@ -41,7 +41,7 @@
      * Creates a count of sockets with a limit.
      *
      * @param limit the number of descriptors that this process may use
-     * @param uncounted how many of them are for connections that are not counted here
+     * @param uncounted how many of them are left to connections that this class does not count
      */
     Sockets(int limit, int uncounted) {
         this.limit = limit;
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Closes the most dispensable connection; returns false if none can be closed. */
+    /** Closes one connection, in the order of the class comment; returns false if none can be closed. */
     boolean evictOne() {
         return evictors.stream().anyMatch(BooleanSupplier::getAsBoolean);
     }
--- a/src/main/java/larkworks/proxy/Upload.java
+++ b/src/main/java/larkworks/proxy/Upload.java
@@ -18,9 +18,9 @@
  * A request body that is too large to be buffered whole, passed from a client to a backend as it arrives. The
  * bytes received before a backend is attached are buffered, and can be sent again to another backend until
  * more than {@link BackendPool#MAX_BUFFERED_BODY_BYTES} bytes were written to one; later bytes are written as
- * they arrive. While no backend is attached the client is still read, within the common limit of buffered
- * bodies, as only reading shows that it has gone. Otherwise the client is read only while the backend's
- * channel is writable.
+ * they arrive. While no backend is attached the client is still read, as only reading shows that it has gone;
+ * the limit of buffered bytes that all connections share applies. Otherwise the client is read only while the
+ * backend's channel is writable.
  */
 final class Upload {
 
@@ -57,11 +57,11 @@
     private boolean complete;
     private boolean discarded;
     /** Whether reading from the client is paused. */
-    private boolean paused;
-    /** When the current pause began. */
-    private long pausedAtNs;
-    /** Duration of all earlier pauses. */
-    private long pausedNs;
+    private boolean readingPaused;
+    /** When the current pause in reading from the client began; valid only during a pause. */
+    private long pauseStartNs;
+    /** Duration of all earlier pauses in reading from the client. */
+    private long earlierPausesNs;
     private final Runnable onReleased;
     private Runnable onNotRepeatable = () -> { };
 
@@ -106,7 +106,7 @@
         updateReading();
     }
 
-    /** Stops sending to the backend. */
+    /** Stops sending the body on this channel; has no effect if the body is not being sent on it. */
     void detach(Channel channel) {
         if (backend == channel && channel != null) {
             writeBufferShares.remove(channel);
@@ -171,29 +171,29 @@
         client.config().setAutoRead(true);
     }
 
-    /** Pauses reading from the client while the backend's channel is not writable. */
+    /** Pauses or resumes reading from the client, depending on whether the backend's channel is writable. */
     void updateReading() {
         if (discarded) {
             return;
         }
         boolean writable = backend == null || backend.isWritable();
-        if (writable && paused) {
-            pausedNs += System.nanoTime() - pausedAtNs;
-        } else if (!writable && !paused) {
-            pausedAtNs = System.nanoTime();
+        if (writable && readingPaused) {
+            earlierPausesNs += System.nanoTime() - pauseStartNs;
+        } else if (!writable && !readingPaused) {
+            pauseStartNs = System.nanoTime();
         }
-        paused = !writable;
+        readingPaused = !writable;
         client.config().setAutoRead(writable);
     }
 
-    /** Returns the duration of the current pause; 0 while the client is read. */
+    /** Returns the duration of the current pause in reading from the client; 0 if reading is not paused. */
     long currentPauseMs() {
-        return !paused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pausedAtNs);
+        return !readingPaused ? 0 : TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - pauseStartNs);
     }
 
-    /** Returns the duration of all pauses, including the current one. */
+    /** Returns the duration of all pauses in reading from the client, including the current one. */
     long totalPauseMs() {
-        return TimeUnit.NANOSECONDS.toMillis(pausedNs) + currentPauseMs();
+        return TimeUnit.NANOSECONDS.toMillis(earlierPausesNs) + currentPauseMs();
     }
 
     /** Writes the buffered bytes that the current backend has not been sent yet. */
--- a/src/main/java/larkworks/proxy/UpstreamAttempt.java
+++ b/src/main/java/larkworks/proxy/UpstreamAttempt.java
@@ -4,8 +4,8 @@
 import larkworks.Balancer.Outcome;
 
 /**
- * An attempt to have a request served by a backend; it passes the result to its listener. For the proxy's
- * loop only; times are in microseconds by the driver's clock.
+ * An attempt to have a request served by a backend; it passes the result to its listener. To be used on the
+ * proxy's event loop only. Times are in microseconds by the driver's clock.
  */
 final class UpstreamAttempt implements BackendPool.Receiver {
 
@@ -23,7 +23,7 @@
         long maxBufferingUs(UpstreamAttempt attempt);
 
         /** Called when the attempt's exchange has ended. */
-        void attemptEnded(UpstreamAttempt attempt, AttemptResult answer);
+        void attemptEnded(UpstreamAttempt attempt, AttemptResult result);
     }
 
     final PendingRequest request;
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void exchangeEnded(AttemptResult answer) {
-        listener.attemptEnded(this, answer);
+    public void exchangeEnded(AttemptResult result) {
+        listener.attemptEnded(this, result);
     }
 }
