--- a/src/main/java/larkworks/proxy/AdminServer.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -36,13 +36,16 @@
 
 /**
  * The HTTP server at the admin address, with one request per connection. Its descriptors are reserved, so
- * that client connections can't exhaust them; connections that send no request or a part of one are closed
- * when others need their descriptors.
+ * that client connections can't exhaust them; connections that send no request, or only a part of one, are
+ * closed when others need their descriptors.
  */
 final class AdminServer {
 
     private static final String METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
-    /** Maximum connections at a time; beyond it the one is closed that has sent nothing for longest. */
+    /**
+     * Maximum open connections. If another is accepted, one whose answer has been sent is closed, or else the
+     * one that has sent nothing for longest.
+     */
     static final int MAX_CONNECTIONS = 16;
     private static final int MAX_BODY_BYTES = 4096;
     /** Connections are closed after this time, even if no complete request has arrived. */
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -50,7 +50,8 @@
     private static final String STALE_HEADER = "X-Registry-Stale";
     /**
      * Pause after an empty answer that arrived at once, so that proxy and discovery don't poll in a busy
-     * loop. Far below 200 ms, after which a watch counts as interrupted.
+     * loop. Far below 200 ms: if the next call started later than that, the watch would be regarded as
+     * interrupted.
      */
     private static final long EMPTY_ANSWER_PAUSE_MS = 20;
     /** Pause before the first retry of a failed call; it doubles with each further failure. */
@@ -68,7 +69,10 @@
      */
     private static final long ON_REQUEST_RETRY_MS = 1_000;
     private static final long ON_REQUEST_RETRY_JITTER_MS = 500;
-    /** Reads of an answer per loop iteration: about a hundred backends, so that requests are not delayed. */
+    /**
+     * Reads of an answer per loop iteration. A read holds about a hundred backends; more at a time would
+     * delay requests.
+     */
     private static final int READS_PER_LOOP_ITERATION = 1;
 
     /** Addresses of the discovery service. {@code addressIndex} is the position of the one in use. */
@@ -124,7 +128,8 @@
     private boolean listReceived;
     /**
      * Whether the first call has succeeded, failed or exceeded the time that the start allows it. True from
-     * the start with discovery {@code on_request}, where a list counts as delivered only on arrival.
+     * the start with discovery {@code on_request}, where the platform expects the proxy to know a list only
+     * once it has arrived.
      */
     private boolean firstCallEnded;
     private Runnable firstCallEndedAction = () -> { };
@@ -182,7 +187,7 @@
         return listReceived;
     }
 
-    /** Runs the action once: as soon as the first call has ended or counts as ended. */
+    /** Runs the action once: when the first call ends or {@link #markFirstCallEnded} is called. */
     void onFirstCallEnded(Runnable action) {
         firstCallEndedAction = action;
         if (firstCallEnded) {
@@ -191,7 +196,8 @@
     }
 
     /**
-     * Counts the first call as ended, even if it is in progress; a list that it returns later still applies.
+     * Treats the first call as ended, even if it is in progress; a list that it returns later is applied all
+     * the same.
      */
     void markFirstCallEnded() {
         firstCallEnded = true;
@@ -318,8 +324,9 @@
 
     /**
      * Ends a call whose answer did not start or did not continue within the timeout. With discovery
-     * {@code on_request} the next call starts at once, as changes that a dead watch misses soon count as
-     * delivered; the decision module is not notified of a failure, after which it would pause.
+     * {@code on_request} the next call starts at once: the platform soon regards changes that a dead watch
+     * misses as delivered to the proxy. The decision module is not notified of the failure, as it would then
+     * wait before it asks for the next watch.
      */
     private void answerTimedOut() {
         waits.callTimedOut();
@@ -403,9 +410,9 @@
 
     /**
      * Switches to another address: after the first failure to a random one, so that proxies don't all move to
-     * the same, then to each in order. A service that sends an epoch is a replica of the same data, where the
-     * watch continues from the version in force. The full list is asked for if no epoch is known, or after as
-     * many answers without a usable list as there are addresses.
+     * the same, and after further failures to the next in order. A service that sends an epoch is a replica
+     * of the same data, where the watch continues from the version in force. The full list is asked for if
+     * no epoch is known, or after as many answers without a usable list as there are addresses.
      */
     private void failOver() {
         consecutiveFailures++;
--- a/src/main/java/larkworks/proxy/DiscoveryWaits.java
+++ b/src/main/java/larkworks/proxy/DiscoveryWaits.java
@@ -1,18 +1,18 @@
 package larkworks.proxy;
 
 /**
- * Wait times of calls to discovery, sent to it as {@code wait}, and timeouts of its answers. The first
- * timeout is short enough to learn of changes by the time that they count as delivered. Each further timeout
- * in a row extends the next ones, for a discovery service that is slow because it handles the calls of many
- * proxies one by one or writes thousands of backends: a call that is abandoned goes to the back of its queue
- * and makes it do the same work again.
+ * Wait times of calls to discovery, sent to it as {@code wait}, and timeouts of its answers. A single
+ * timeout is short enough to learn of changes within the 6 s after which the platform regards them as
+ * delivered to the proxy. Each further timeout in a row extends the next ones, for a discovery service that
+ * is slow because it handles the calls of many proxies one by one or writes thousands of backends: repeating
+ * an abandoned call puts it at the back of the service's queue and makes the service do the same work again.
  */
 final class DiscoveryWaits {
 
     /**
-     * How long discovery may hold a watch open. Changes that a dead watch misses count as delivered 6 s
-     * later, and a watch may die right at its start. Within these 6 s the watch must time out, and the pause
-     * after a failed call must be over.
+     * How long discovery may hold a watch open. The platform regards a change as delivered to the proxy 6 s
+     * after discovery received it, even if the watch was dead, and a watch may die right at its start. Within
+     * these 6 s the watch must time out, and the pause after a failed call must be over.
      */
     private static final long WATCH_WAIT_MS = 3_250;
     /** A watch times out this long after the end of its wait. */
@@ -24,9 +24,10 @@
     /** Timeout of the first call at an address, of a call for the full list, and of a connection attempt. */
     static final long FIRST_CALL_TIMEOUT_MS = 2_000;
     /**
-     * Timeout of the first call after a failed one. Pause and timeout together stay well below the 6 s after
-     * which a change at discovery counts as delivered, whether the answer is slow, as discovery handles calls
-     * one by one, or never comes.
+     * Timeout of the first call after a failed one. The pause before the call and this timeout together stay
+     * well below the 6 s after which the platform regards a change at discovery as delivered to the proxy. So
+     * the proxy learns of it in time, whether the answer is slow, as discovery handles calls one by one, or
+     * never comes.
      */
     private static final long CATCH_UP_TIMEOUT_MS = 3_500;
     /** Maximum by which repeated timeouts extend the next ones. */
@@ -34,7 +35,8 @@
     /** Timeout between two parts of an answer; short, as the answer may announce a drain. */
     private static final long STALLED_ANSWER_TIMEOUT_MS = 1_000;
     /**
-     * Time for a complete answer from its first byte on, extended by its bytes so far at the minimum rate.
+     * Maximum time from an answer's first byte to its last, extended by the time that the bytes received so
+     * far take at {@link #MIN_BYTES_PER_MS}.
      */
     private static final long COMPLETE_ANSWER_TIMEOUT_MS = 4_000;
     private static final long MIN_BYTES_PER_MS = 16;
@@ -74,7 +76,7 @@
         return baseTimeoutMs + timeoutExtensionMs;
     }
 
-    /** Returns the timeout of the next part of an answer, given its age and its bytes so far. */
+    /** Returns the timeout of an answer's next part; {@code bytes} is the size of the answer so far. */
     long nextBytesTimeoutMs(long sinceFirstByteMs, long bytes) {
         long remainingMs = COMPLETE_ANSWER_TIMEOUT_MS + timeoutExtensionMs + bytes / MIN_BYTES_PER_MS
                 - sinceFirstByteMs;
--- a/src/main/java/larkworks/proxy/ListFreshness.java
+++ b/src/main/java/larkworks/proxy/ListFreshness.java
@@ -17,7 +17,7 @@
         FRESH,
         /** A call to discovery has failed since the last answer. */
         BEHIND,
-        /** Calls have failed for so long that this proxy may lack changes that count as delivered to it. */
+        /** Calls have failed for {@link #DELIVERED_AFTER_US}: this proxy may lack changes it should know. */
         STALE
     }
 
--- a/src/main/java/larkworks/proxy/Listing.java
+++ b/src/main/java/larkworks/proxy/Listing.java
@@ -16,7 +16,7 @@
  */
 record Listing(long index, boolean isFull, List<Entry> entries) {
 
-    /** A backend: its description for the decision module, and its address, null if it is gone. */
+    /** A backend: its description for the decision module, and its address; null if its status is GONE. */
     record Entry(Server server, InetSocketAddress address) {
 
         /** Returns an entry for the same backend with status {@code GONE}. */
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -47,11 +47,12 @@
      * time.
      */
     private static final long MIN_KILL_DELAY_MS = 700;
-    /** The platform counts a longer deadline as this one when it times SIGKILL. */
+    /** For the earliest time of SIGKILL, the platform replaces a longer deadline by this one. */
     private static final long MAX_DEADLINE_MS = 3_000;
     /**
-     * Requests that arrive late in the shutdown are answered this long before SIGKILL: time limits have 50 ms
-     * of slack on sockets, and the process may pause for 150 ms between reading its clock and writing.
+     * Deadlines of requests that arrive late in the shutdown end this long before the earliest SIGKILL: an
+     * answer may be written 50 ms after its deadline, and the process may pause for 150 ms between reading
+     * its clock and writing.
      */
     private static final long KILL_MARGIN_MS = 200;
     /**
@@ -68,7 +69,7 @@
     private static final long MAX_LIST_WAIT_MS = 2_500;
     /** Pause before another attempt to listen, if the system was short of sockets only for a moment. */
     private static final long LISTEN_RETRY_MS = 20;
-    /** How long attempts to listen are repeated in the start. */
+    /** How long attempts to listen are repeated during the start. */
     private static final long LISTEN_TIMEOUT_MS = 5_000;
     /** How often the start checks whether the first list has arrived. */
     private static final long LIST_CHECK_INTERVAL_MS = 20;
@@ -203,7 +204,8 @@
             adminListener = listenWithRetries(() -> adminServer.listen(config.adminAddress()),
                     config.adminAddress());
         }
-        // Warm-up at the shared address could reach the other process and, through it, its backends.
+        // Listens at a temporary port for the warm-up: at the configured address its requests could reach
+        // the other process and, through it, backends.
         InetSocketAddress initialAddress = hasAdminAddress
                 ? new InetSocketAddress(config.listen().getAddress(), 0) : config.listen();
         Channel listener = listenWithRetries(() -> frontend.listen(initialAddress, false), initialAddress);
@@ -214,8 +216,8 @@
                 serveOnceListReceived(listDeadlineNs);
             } else {
                 servingAddress.trySuccess(listenerAddress);
-                // Changes at discovery may count as delivered from the start, so the first call must have
-                // ended.
+                // The platform may regard changes at discovery as delivered to the proxy from its start on,
+                // so the proxy is not ready before the first call has ended.
                 discovery.onFirstCallEnded(this::becomeReady);
                 loop.schedule(discovery::markFirstCallEnded, listDeadlineNs - System.nanoTime(),
                         TimeUnit.NANOSECONDS);
@@ -276,7 +278,7 @@
 
     /**
      * Listens for clients once a list has been received and a backend can serve. The list in the
-     * configuration may be old; after {@code deadlineNs} it suffices all the same.
+     * configuration may be old, so it is used without a received one only after {@code deadlineNs}.
      */
     private void serveOnceListReceived(long deadlineNs) {
         if (frontend.isDraining()) {
@@ -365,11 +367,11 @@
 
     /**
      * Shuts down after SIGTERM: drains and waits until all requests have ended, while the JVM, which runs
-     * this as a shutdown hook, waits before it exits. Requests left at its end would be lost, so it takes as
-     * long as they need: SIGKILL may come later than its earliest time.
+     * this as a shutdown hook, waits before it exits. Requests pending when the process exits would be lost,
+     * so the shutdown takes as long as they need, even past the earliest time at which SIGKILL may come.
      */
     void drainAndWait() {
-        // The clock is read on this thread, as a busy loop may run the following task late.
+        // Reads the clock before the task below is queued, as a busy loop may run that task late.
         long signalUs = driver.clock().nowUs();
         loop.execute(() -> {
             if (!frontend.isListening() && fleetMember == null) {
--- a/src/main/java/larkworks/proxy/Maintenance.java
+++ b/src/main/java/larkworks/proxy/Maintenance.java
@@ -22,7 +22,7 @@
     /** The outcome of an operator's command. */
     enum Result { DONE, UNKNOWN_BACKEND, NOT_STORED }
 
-    /** Checks of the folder within the grace of a drain; a check is cheap. */
+    /** How often the folder is checked within the grace period of a drain; a check is cheap. */
     private static final int CHECKS_PER_DRAIN_GRACE = 5;
     private static final long MIN_CHECK_INTERVAL_US = 10_000;
 
@@ -31,7 +31,7 @@
     private final Sockets sockets;
     private final long checkIntervalUs;
     private final InetSocketAddress listenAddress;
-    /** Folder that outlives this process; null if none is given: commands then end with the process. */
+    /** Folder that outlives this process; if null, commands are lost when the process ends. */
     private final Path stateFolder;
     /** Null until the folder can be opened: a disk that fails for a while must not prevent the start. */
     private MaintenanceStore store;
@@ -72,7 +72,7 @@
         checkFolder();
     }
 
-    /** Releases the lock by which other processes see that this one is alive. */
+    /** Releases the lock that shows other processes that this one is alive. */
     void close() throws IOException {
         if (processLock != null) {
             processLock.close();
--- a/src/main/java/larkworks/proxy/RolloutClient.java
+++ b/src/main/java/larkworks/proxy/RolloutClient.java
@@ -50,7 +50,7 @@
     private static final ObjectMapper JSON = JsonMapper.builder()
             .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE).build();
     private static final int MAX_ANSWER_BYTES = 128 << 10;
-    /** Timeout of connecting, and of the wait for an answer. */
+    /** Timeout of a connection attempt, and of an answer to a report. */
     private static final long ANSWER_TIMEOUT_MS = 2_000;
 
     /** Reads the settings from the configuration file with a merge patch applied to it. */
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -17,7 +17,7 @@
  */
 final class StartTimes {
 
-    /** A list may arrive this long after a server's start without implying that the clocks differ. */
+    /** Maximum delay from a server's start to the list with it; a longer one is taken as a clock offset. */
     private static final long MAX_LIST_DELAY_US = 30_000_000;
 
     /** Maximum servers whose starts are kept, including servers that are no longer listed. */
@@ -40,12 +40,12 @@
             return size() > MAX_SERVERS;
         }
     };
-    /** Difference that converts a listed time to this process's clock. */
+    /** Added to a listed time to convert it to this process's clock. */
     private long clockOffsetUs;
     /** Whether a list remembered from before this process's start contained servers. */
     private boolean hasRememberedServers;
 
-    /** Creates an empty table; {@code coldUs} is how long a server counts as cold after its start. */
+    /** Creates an empty table; {@code coldUs} is how long a server is cold after its start. */
     StartTimes(long coldUs) {
         this.coldUs = coldUs;
     }
