--- a/src/main/java/larkworks/proxy/AdminServer.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -113,16 +113,16 @@
         }
         String path = request.uri();
         boolean inMaintenance = path.equals("/ops/backends/down");
-        Supplier<String> table = jsonTables.get(path);
-        boolean isQuery = table != null || path.equals("/ops/readiness");
+        Supplier<String> jsonTable = jsonTables.get(path);
+        boolean isQuery = jsonTable != null || path.equals("/ops/readiness");
         if (!inMaintenance && !isQuery && !path.equals("/ops/backends/up")) {
             return new Reply(HttpResponseStatus.NOT_FOUND, "no such call");
         }
         if (!request.method().equals(isQuery ? HttpMethod.GET : HttpMethod.PUT)) {
             return new Reply(HttpResponseStatus.METHOD_NOT_ALLOWED, isQuery ? "GET only" : "PUT only");
         }
-        if (table != null) {
-            return new Reply(HttpResponseStatus.OK, "application/json", table.get());
+        if (jsonTable != null) {
+            return new Reply(HttpResponseStatus.OK, "application/json", jsonTable.get());
         }
         if (isQuery) {
             return isReady.getAsBoolean() ? new Reply(HttpResponseStatus.OK, "ready")
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -67,7 +67,7 @@
      * With discovery {@code on_request}, a failed call is retried after this time plus a random part of the
      * jitter, unless the decision module asks sooner.
      */
-    private static final long ON_REQUEST_RETRY_MS = 1_000;
+    private static final long ON_REQUEST_RETRY_PAUSE_MS = 1_000;
     private static final long ON_REQUEST_RETRY_JITTER_MS = 500;
     /**
      * Reads of an answer per loop iteration. A read holds about a hundred backends; more at a time would
@@ -339,8 +339,8 @@
     }
 
     /** Restarts the timeout when bytes of an answer arrive; it is shorter from the first byte on. */
-    private void answerBytesReceived(Channel source) {
-        if (source != channel || !callInProgress) {
+    private void answerBytesReceived(Channel sourceChannel) {
+        if (sourceChannel != channel || !callInProgress) {
             return;
         }
         answerStartedNs = answerStarted ? answerStartedNs : System.nanoTime();
@@ -376,7 +376,7 @@
         }
         abandonCall(reason);
         if (isOnRequest) {
-            scheduleCall(ON_REQUEST_RETRY_MS + random.nextLong(ON_REQUEST_RETRY_JITTER_MS));
+            scheduleCall(ON_REQUEST_RETRY_PAUSE_MS + random.nextLong(ON_REQUEST_RETRY_JITTER_MS));
             driver.discoveryFailed();
         } else {
             missedSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
@@ -416,10 +416,10 @@
      */
     private void failOver() {
         consecutiveFailures++;
-        int otherAddresses = addresses.size() - 1;
-        addressIndex = (addressIndex + 1 + (consecutiveFailures == 1 ? random.nextInt(otherAddresses) : 0))
+        int otherAddressCount = addresses.size() - 1;
+        addressIndex = (addressIndex + 1 + (consecutiveFailures == 1 ? random.nextInt(otherAddressCount) : 0))
                 % addresses.size();
-        if (epoch == null || consecutiveRefusals > otherAddresses) {
+        if (epoch == null || consecutiveRefusals > otherAddressCount) {
             requireFullList();
         }
     }
@@ -511,11 +511,11 @@
 
         private void readContent(HttpContent content) {
             Listing listing = null;
-            boolean last = content instanceof LastHttpContent;
+            boolean isLastPart = content instanceof LastHttpContent;
             try {
                 if (listReader != null) {
                     listReader.read(content.content());
-                    listing = last ? listReader.finish() : null;
+                    listing = isLastPart ? listReader.finish() : null;
                 }
             } catch (ListingReader.InvalidListException e) {
                 LOG.atWarn().addKeyValue("why", e.getMessage())
@@ -523,7 +523,7 @@
                 listReader = null;
                 requireFullList();
             }
-            if (last) {
+            if (isLastPart) {
                 HttpResponse answer = response;
                 response = null;
                 listReader = null;
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -75,9 +75,9 @@
     private static final long LIST_CHECK_INTERVAL_MS = 20;
 
     private final PollTimes pollTimes = new PollTimes();
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
             new MultiThreadIoEventLoopGroup(1, pollTimes.observe(NioIoHandler.newFactory()));
-    private final EventLoop loop = group.next();
+    private final EventLoop loop = eventLoopGroup.next();
     private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final Config config;
     private final Sockets sockets;
@@ -264,16 +264,16 @@
     private static Channel listenWithRetries(Supplier<ChannelFuture> binding, InetSocketAddress address)
             throws Unusable, InterruptedException {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TIMEOUT_MS);
-        ChannelFuture bound = binding.get().await();
-        while (!bound.isSuccess() && SystemError.of(bound.cause()).isMomentary()
+        ChannelFuture bindFuture = binding.get().await();
+        while (!bindFuture.isSuccess() && SystemError.of(bindFuture.cause()).isMomentary()
                 && System.nanoTime() - deadlineNs < 0) {
             Thread.sleep(LISTEN_RETRY_MS);
-            bound = binding.get().await();
+            bindFuture = binding.get().await();
         }
-        if (!bound.isSuccess()) {
-            throw new Unusable("can't listen at " + address, List.of(bound.cause().getMessage()));
+        if (!bindFuture.isSuccess()) {
+            throw new Unusable("can't listen at " + address, List.of(bindFuture.cause().getMessage()));
         }
-        return bound.channel();
+        return bindFuture.channel();
     }
 
     /**
@@ -285,17 +285,17 @@
             // SIGTERM arrived during the start; another process serves at the address or soon will.
             return;
         }
-        boolean waitEnded = discovery.hasReceivedList() || System.nanoTime() - deadlineNs > 0;
-        if (!waitEnded || !driver.canServe()) {
+        boolean listWaitEnded = discovery.hasReceivedList() || System.nanoTime() - deadlineNs > 0;
+        if (!listWaitEnded || !driver.canServe()) {
             loop.schedule(() -> serveOnceListReceived(deadlineNs), LIST_CHECK_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
             return;
         }
-        ChannelFuture bound = frontend.listen(config.listen(), true);
-        bound.addListener(done -> {
+        ChannelFuture bindFuture = frontend.listen(config.listen(), true);
+        bindFuture.addListener(done -> {
             if (done.isSuccess()) {
                 becomeReady();
-                servingAddress.trySuccess((InetSocketAddress) bound.channel().localAddress());
+                servingAddress.trySuccess((InetSocketAddress) bindFuture.channel().localAddress());
             } else if (SystemError.of(done.cause()).isMomentary()) {
                 loop.schedule(() -> serveOnceListReceived(deadlineNs), LISTEN_RETRY_MS,
                         TimeUnit.MILLISECONDS);
@@ -372,7 +372,7 @@
      */
     void drainAndWait() {
         // Reads the clock before the task below is queued, as a busy loop may run that task late.
-        long signalUs = driver.clock().nowUs();
+        long sigtermUs = driver.clock().nowUs();
         loop.execute(() -> {
             if (!frontend.isListening() && fleetMember == null) {
                 // No requests were accepted, and there are no members to notify.
@@ -389,8 +389,8 @@
             // A request sent over 0.7 s after SIGTERM must be answered before the earliest SIGKILL. SIGTERM
             // may have been sent some time before this process handled it, so the bound starts sooner.
             long earliestKillMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs()) + MIN_KILL_DELAY_MS;
-            driver.limitDeadlines(signalUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
-                    signalUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
+            driver.limitDeadlines(sigtermUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
+                    sigtermUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
             loop.schedule(() -> {
                 frontend.stopListening();
                 completeShutdownWhenIdle();
@@ -437,7 +437,7 @@
         if (meters != null) {
             meters.close();
         }
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         try {
             if (maintenance != null) {
                 maintenance.close();
--- a/src/main/java/larkworks/proxy/RolloutClient.java
+++ b/src/main/java/larkworks/proxy/RolloutClient.java
@@ -70,7 +70,7 @@
     private long version;
     private long refusedVersion;
     private String refusalReason = "";
-    private Future<?> nextReport;
+    private Future<?> nextReportTask;
     private boolean closed;
 
     RolloutClient(Config config, EventLoop loop, Driver driver, SettingsSource settingsSource) {
@@ -85,13 +85,13 @@
 
     /** Starts reporting; to be called on the loop. */
     void start() {
-        nextReport = loop.schedule(this::sendReport, reportIntervalMs, TimeUnit.MILLISECONDS);
+        nextReportTask = loop.schedule(this::sendReport, reportIntervalMs, TimeUnit.MILLISECONDS);
     }
 
     void close() {
         closed = true;
-        if (nextReport != null) {
-            nextReport.cancel(false);
+        if (nextReportTask != null) {
+            nextReportTask.cancel(false);
         }
     }
 
@@ -99,7 +99,7 @@
         if (closed) {
             return;
         }
-        nextReport = loop.schedule(this::sendReport, reportIntervalMs, TimeUnit.MILLISECONDS);
+        nextReportTask = loop.schedule(this::sendReport, reportIntervalMs, TimeUnit.MILLISECONDS);
         InetSocketAddress address = addresses.get(addressIndex);
         new Bootstrap().group(loop).channel(TcpChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) ANSWER_TIMEOUT_MS)
@@ -111,9 +111,9 @@
                                 new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER_BYTES),
                                 new AnswerHandler());
                     }
-                }).connect(address).addListener((io.netty.channel.ChannelFuture connected) -> {
-                    if (connected.isSuccess()) {
-                        writeReport(connected.channel(), address);
+                }).connect(address).addListener((io.netty.channel.ChannelFuture connectFuture) -> {
+                    if (connectFuture.isSuccess()) {
+                        writeReport(connectFuture.channel(), address);
                     } else {
                         addressIndex = (addressIndex + 1) % addresses.size();
                     }
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -32,7 +32,7 @@
     }
 
     private final long coldUs;
-    private final Map<String, KnownStart> starts = new LinkedHashMap<>() {
+    private final Map<String, KnownStart> knownStarts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
@@ -60,20 +60,20 @@
      */
     List<Server> toLocalClock(long nowUs, ListKind kind, List<Server> servers, long previousListUs,
             List<Server> corrected) {
-        long previousOffsetUs = clockOffsetUs;
+        long previousClockOffsetUs = clockOffsetUs;
         for (Server server : servers) {
-            KnownStart known = starts.get(server.id());
+            KnownStart known = knownStarts.get(server.id());
             boolean isUnchanged = known != null && known.listed.startedAtUs() == server.startedAtUs();
-            starts.put(server.id(), new KnownStart(server, isUnchanged ? known.localStartUs
+            knownStarts.put(server.id(), new KnownStart(server, isUnchanged ? known.localStartUs
                     : localStartUs(nowUs, kind, server.startedAtUs(), previousListUs)));
         }
         hasRememberedServers |= kind == ListKind.REMEMBERED && !servers.isEmpty();
-        if (clockOffsetUs != previousOffsetUs) {
+        if (clockOffsetUs != previousClockOffsetUs) {
             applyClockOffset(nowUs, corrected);
             Set<String> listedIds = servers.stream().map(Server::id).collect(Collectors.toSet());
             corrected.removeIf(server -> listedIds.contains(server.id()));
         }
-        return servers.stream().map(server -> starts.get(server.id()).withLocalStart()).toList();
+        return servers.stream().map(server -> knownStarts.get(server.id()).withLocalStart()).toList();
     }
 
     private long localStartUs(long nowUs, ListKind kind, long listedStartUs, long previousListUs) {
@@ -101,13 +101,14 @@
      * corrections from what this process observed stay in force.
      */
     private void applyClockOffset(long nowUs, List<Server> corrected) {
-        starts.replaceAll((id, start) -> {
-            long listedStartUs = start.listed.startedAtUs();
+        knownStarts.replaceAll((id, knownStart) -> {
+            long listedStartUs = knownStart.listed.startedAtUs();
             long localStartUs = Math.min(nowUs, listedStartUs + clockOffsetUs);
-            if (listedStartUs <= 0 || nowUs - localStartUs >= coldUs || localStartUs <= start.localStartUs) {
-                return start;
+            if (listedStartUs <= 0 || nowUs - localStartUs >= coldUs
+                    || localStartUs <= knownStart.localStartUs) {
+                return knownStart;
             }
-            KnownStart correctedStart = new KnownStart(start.listed, localStartUs);
+            KnownStart correctedStart = new KnownStart(knownStart.listed, localStartUs);
             corrected.add(correctedStart.withLocalStart());
             return correctedStart;
         });
--- a/src/main/java/larkworks/proxy/Training.java
+++ b/src/main/java/larkworks/proxy/Training.java
@@ -35,10 +35,10 @@
     public static void main(String[] args) throws Exception {
         Logs.quietNetty();
         Path folder = Files.createTempDirectory("training");
-        try (ServerSocket backend = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
-            startBackend(backend);
+        try (ServerSocket backendListener = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"))) {
+            startBackend(backendListener);
             Path file = Files.writeString(folder.resolve("config.json"), Files.readString(Path.of(args[0]))
-                    .replace(CONFIGURED_BACKEND, "127.0.0.1:" + backend.getLocalPort()));
+                    .replace(CONFIGURED_BACKEND, "127.0.0.1:" + backendListener.getLocalPort()));
             Logs.start(LogSettings.defaults(), Map.of("node", "training"));
             LoggerFactory.getLogger("proxy").atInfo().addKeyValue("training", true).log("training");
             Main main = new Main(Config.read(file.toString(), Map.of("TMPDIR", folder.toString()), Map.of()));
