--- a/src/main/java/larkworks/proxy/AdminServer.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Collects a request's body and refuses one that is too large; the rest of it is read, as the client
-     * might lose the answer otherwise.
+     * Collects a request's body and refuses one that is too large. The rest of a refused body is still read:
+     * closing the connection with unread bytes could reset it before the client has the answer.
      */
     private final class BodyAggregator extends HttpObjectAggregator {
 
@@ -206,7 +206,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A reset, or bytes that are not HTTP: no answer is possible.
+            // The connection was reset, or its bytes are not HTTP: no answer is possible.
             context.close();
         }
     }
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -65,7 +65,7 @@
     private static final long MAX_RETRY_PAUSE_MS = 1_000;
     /**
      * With discovery {@code on_request}, a failed call is retried after this time plus a random part of the
-     * jitter, unless the decision module asks sooner.
+     * jitter, unless the decision module asks for a watch sooner.
      */
     private static final long ON_REQUEST_RETRY_PAUSE_MS = 1_000;
     private static final long ON_REQUEST_RETRY_JITTER_MS = 500;
@@ -75,8 +75,9 @@
      */
     private static final int READS_PER_LOOP_ITERATION = 1;
 
-    /** Addresses of the discovery service. {@code addressIndex} is the position of the one in use. */
+    /** Addresses of the discovery service. */
     private List<InetSocketAddress> addresses;
+    /** Position in {@link #addresses} of the address in use. */
     private int addressIndex;
     private final SplittableRandom random;
     private final boolean isOnRequest;
@@ -145,8 +146,8 @@
         this.firstCallEnded = isOnRequest;
         this.index = initialIndex(config);
         this.missedSinceUs = isOnRequest ? Long.MAX_VALUE : driver.clock().nowUs();
-        // A drain must become known within its grace. The pause with its jitter of a quarter stays within
-        // half of the grace.
+        // The proxy must learn of a drain within the drain's grace period. The maximum pause, lengthened by
+        // up to a quarter as jitter, stays within half of that period.
         this.maxRetryPauseMs = Math.max(MIN_RETRY_PAUSE_MS, Math.min(MAX_RETRY_PAUSE_MS,
                 config.settings().rules().drainGraceUs() / 1000 * 2 / 5));
         driver.onWatchRequested(this::startCall);
@@ -294,8 +295,9 @@
 
     /**
      * Retries the call after a short pause: this machine had no descriptor, port or buffer for the
-     * connection, which says nothing about discovery. After too many such failures in a row the call counts
-     * as failed. Ignored if another call has started meanwhile, for example because the addresses changed.
+     * connection, which says nothing about discovery. After too many such failures in a row the call is
+     * handled as failed. Does nothing if another call has started since, for example after a change of the
+     * addresses.
      *
      * @param startedNs the start time of the call that needed the connection
      */
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -204,8 +204,8 @@
             adminListener = listenWithRetries(() -> adminServer.listen(config.adminAddress()),
                     config.adminAddress());
         }
-        // Listens at a temporary port for the warm-up: at the configured address its requests could reach
-        // the other process and, through it, backends.
+        // With an admin address, the warm-up uses a temporary port: at the configured address its requests
+        // could reach the other process and, through it, backends.
         InetSocketAddress initialAddress = hasAdminAddress
                 ? new InetSocketAddress(config.listen().getAddress(), 0) : config.listen();
         Channel listener = listenWithRetries(() -> frontend.listen(initialAddress, false), initialAddress);
@@ -387,7 +387,8 @@
                 fleetMember.leave();
             }
             // A request sent over 0.7 s after SIGTERM must be answered before the earliest SIGKILL. SIGTERM
-            // may have been sent some time before this process handled it, so the bound starts sooner.
+            // may have been sent some time before this process handled it, so the limit applies to earlier
+            // requests too.
             long earliestKillMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs()) + MIN_KILL_DELAY_MS;
             driver.limitDeadlines(sigtermUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
                     sigtermUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
