--- a/src/main/java/larkworks/proxy/AdminServer.java
+++ b/src/main/java/larkworks/proxy/AdminServer.java
@@ -36,13 +36,16 @@
 
 /**
  * The HTTP server at the admin address, with one request per connection. Its descriptors are reserved, so
- * that client connections can't exhaust them; connections that send no request or a part of one are closed
- * when others need their descriptors.
+ * that client connections can't exhaust them; connections that send no request, or only a part of one, are
+ * closed when others need their descriptors.
  */
 final class AdminServer {
 
     private static final String METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
-    /** Maximum connections at a time; beyond it the one is closed that has sent nothing for longest. */
+    /**
+     * Maximum open connections. If another is accepted, one whose answer has been sent is closed, or else the
+     * one that has sent nothing for longest.
+     */
     static final int MAX_CONNECTIONS = 16;
     private static final int MAX_BODY_BYTES = 4096;
     /** Connections are closed after this time, even if no complete request has arrived. */
@@ -110,16 +113,16 @@
         }
         String path = request.uri();
         boolean inMaintenance = path.equals("/ops/backends/down");
-        Supplier<String> table = jsonTables.get(path);
-        boolean isQuery = table != null || path.equals("/ops/readiness");
+        Supplier<String> jsonTable = jsonTables.get(path);
+        boolean isQuery = jsonTable != null || path.equals("/ops/readiness");
         if (!inMaintenance && !isQuery && !path.equals("/ops/backends/up")) {
             return new Reply(HttpResponseStatus.NOT_FOUND, "no such call");
         }
         if (!request.method().equals(isQuery ? HttpMethod.GET : HttpMethod.PUT)) {
             return new Reply(HttpResponseStatus.METHOD_NOT_ALLOWED, isQuery ? "GET only" : "PUT only");
         }
-        if (table != null) {
-            return new Reply(HttpResponseStatus.OK, "application/json", table.get());
+        if (jsonTable != null) {
+            return new Reply(HttpResponseStatus.OK, "application/json", jsonTable.get());
         }
         if (isQuery) {
             return isReady.getAsBoolean() ? new Reply(HttpResponseStatus.OK, "ready")
@@ -155,8 +158,8 @@
     }
 
     /**
-     * Collects a request's body and refuses one that is too large; the rest of it is read, as the client
-     * might lose the answer otherwise.
+     * Collects a request's body and refuses one that is too large. The rest of a refused body is still read:
+     * closing the connection with unread bytes could reset it before the client has the answer.
      */
     private final class BodyAggregator extends HttpObjectAggregator {
 
@@ -203,7 +206,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A reset, or bytes that are not HTTP: no answer is possible.
+            // The connection was reset, or its bytes are not HTTP: no answer is possible.
             context.close();
         }
     }
--- a/src/main/java/larkworks/proxy/Discovery.java
+++ b/src/main/java/larkworks/proxy/Discovery.java
@@ -50,7 +50,8 @@
     private static final String STALE_HEADER = "X-Registry-Stale";
     /**
      * Pause after an empty answer that arrived at once, so that proxy and discovery don't poll in a busy
-     * loop. Far below 200 ms, after which a watch counts as interrupted.
+     * loop. Far below 200 ms: if the next call started later than that, the watch would be regarded as
+     * interrupted.
      */
     private static final long EMPTY_ANSWER_PAUSE_MS = 20;
     /** Pause before the first retry of a failed call; it doubles with each further failure. */
@@ -64,15 +65,19 @@
     private static final long MAX_RETRY_PAUSE_MS = 1_000;
     /**
      * With discovery {@code on_request}, a failed call is retried after this time plus a random part of the
-     * jitter, unless the decision module asks sooner.
+     * jitter, unless the decision module asks for a watch sooner.
      */
-    private static final long ON_REQUEST_RETRY_MS = 1_000;
+    private static final long ON_REQUEST_RETRY_PAUSE_MS = 1_000;
     private static final long ON_REQUEST_RETRY_JITTER_MS = 500;
-    /** Reads of an answer per loop iteration: about a hundred backends, so that requests are not delayed. */
+    /**
+     * Reads of an answer per loop iteration. A read holds about a hundred backends; more at a time would
+     * delay requests.
+     */
     private static final int READS_PER_LOOP_ITERATION = 1;
 
-    /** Addresses of the discovery service. {@code addressIndex} is the position of the one in use. */
+    /** Addresses of the discovery service. */
     private List<InetSocketAddress> addresses;
+    /** Position in {@link #addresses} of the address in use. */
     private int addressIndex;
     private final SplittableRandom random;
     private final boolean isOnRequest;
@@ -124,7 +129,8 @@
     private boolean listReceived;
     /**
      * Whether the first call has succeeded, failed or exceeded the time that the start allows it. True from
-     * the start with discovery {@code on_request}, where a list counts as delivered only on arrival.
+     * the start with discovery {@code on_request}, where the platform expects the proxy to know a list only
+     * once it has arrived.
      */
     private boolean firstCallEnded;
     private Runnable firstCallEndedAction = () -> { };
@@ -140,8 +146,8 @@
         this.firstCallEnded = isOnRequest;
         this.index = initialIndex(config);
         this.missedSinceUs = isOnRequest ? Long.MAX_VALUE : driver.clock().nowUs();
-        // A drain must become known within its grace. The pause with its jitter of a quarter stays within
-        // half of the grace.
+        // The proxy must learn of a drain within the drain's grace period. The maximum pause, lengthened by
+        // up to a quarter as jitter, stays within half of that period.
         this.maxRetryPauseMs = Math.max(MIN_RETRY_PAUSE_MS, Math.min(MAX_RETRY_PAUSE_MS,
                 config.settings().rules().drainGraceUs() / 1000 * 2 / 5));
         driver.onWatchRequested(this::startCall);
@@ -182,7 +188,7 @@
         return listReceived;
     }
 
-    /** Runs the action once: as soon as the first call has ended or counts as ended. */
+    /** Runs the action once: when the first call ends or {@link #markFirstCallEnded} is called. */
     void onFirstCallEnded(Runnable action) {
         firstCallEndedAction = action;
         if (firstCallEnded) {
@@ -191,7 +197,8 @@
     }
 
     /**
-     * Counts the first call as ended, even if it is in progress; a list that it returns later still applies.
+     * Treats the first call as ended, even if it is in progress; a list that it returns later is applied all
+     * the same.
      */
     void markFirstCallEnded() {
         firstCallEnded = true;
@@ -288,8 +295,9 @@
 
     /**
      * Retries the call after a short pause: this machine had no descriptor, port or buffer for the
-     * connection, which says nothing about discovery. After too many such failures in a row the call counts
-     * as failed. Ignored if another call has started meanwhile, for example because the addresses changed.
+     * connection, which says nothing about discovery. After too many such failures in a row the call is
+     * handled as failed. Does nothing if another call has started since, for example after a change of the
+     * addresses.
      *
      * @param startedNs the start time of the call that needed the connection
      */
@@ -318,8 +326,9 @@
 
     /**
      * Ends a call whose answer did not start or did not continue within the timeout. With discovery
-     * {@code on_request} the next call starts at once, as changes that a dead watch misses soon count as
-     * delivered; the decision module is not notified of a failure, after which it would pause.
+     * {@code on_request} the next call starts at once: the platform soon regards changes that a dead watch
+     * misses as delivered to the proxy. The decision module is not notified of the failure, as it would then
+     * wait before it asks for the next watch.
      */
     private void answerTimedOut() {
         waits.callTimedOut();
@@ -332,8 +341,8 @@
     }
 
     /** Restarts the timeout when bytes of an answer arrive; it is shorter from the first byte on. */
-    private void answerBytesReceived(Channel source) {
-        if (source != channel || !callInProgress) {
+    private void answerBytesReceived(Channel sourceChannel) {
+        if (sourceChannel != channel || !callInProgress) {
             return;
         }
         answerStartedNs = answerStarted ? answerStartedNs : System.nanoTime();
@@ -369,7 +378,7 @@
         }
         abandonCall(reason);
         if (isOnRequest) {
-            scheduleCall(ON_REQUEST_RETRY_MS + random.nextLong(ON_REQUEST_RETRY_JITTER_MS));
+            scheduleCall(ON_REQUEST_RETRY_PAUSE_MS + random.nextLong(ON_REQUEST_RETRY_JITTER_MS));
             driver.discoveryFailed();
         } else {
             missedSinceUs = Math.min(missedSinceUs, driver.clock().nowUs());
@@ -403,16 +412,16 @@
 
     /**
      * Switches to another address: after the first failure to a random one, so that proxies don't all move to
-     * the same, then to each in order. A service that sends an epoch is a replica of the same data, where the
-     * watch continues from the version in force. The full list is asked for if no epoch is known, or after as
-     * many answers without a usable list as there are addresses.
+     * the same, and after further failures to the next in order. A service that sends an epoch is a replica
+     * of the same data, where the watch continues from the version in force. The full list is asked for if
+     * no epoch is known, or after as many answers without a usable list as there are addresses.
      */
     private void failOver() {
         consecutiveFailures++;
-        int otherAddresses = addresses.size() - 1;
-        addressIndex = (addressIndex + 1 + (consecutiveFailures == 1 ? random.nextInt(otherAddresses) : 0))
+        int otherAddressCount = addresses.size() - 1;
+        addressIndex = (addressIndex + 1 + (consecutiveFailures == 1 ? random.nextInt(otherAddressCount) : 0))
                 % addresses.size();
-        if (epoch == null || consecutiveRefusals > otherAddresses) {
+        if (epoch == null || consecutiveRefusals > otherAddressCount) {
             requireFullList();
         }
     }
@@ -504,11 +513,11 @@
 
         private void readContent(HttpContent content) {
             Listing listing = null;
-            boolean last = content instanceof LastHttpContent;
+            boolean isLastPart = content instanceof LastHttpContent;
             try {
                 if (listReader != null) {
                     listReader.read(content.content());
-                    listing = last ? listReader.finish() : null;
+                    listing = isLastPart ? listReader.finish() : null;
                 }
             } catch (ListingReader.InvalidListException e) {
                 LOG.atWarn().addKeyValue("why", e.getMessage())
@@ -516,7 +525,7 @@
                 listReader = null;
                 requireFullList();
             }
-            if (last) {
+            if (isLastPart) {
                 HttpResponse answer = response;
                 response = null;
                 listReader = null;
--- a/src/main/java/larkworks/proxy/Main.java
+++ b/src/main/java/larkworks/proxy/Main.java
@@ -47,11 +47,12 @@
      * time.
      */
     private static final long MIN_KILL_DELAY_MS = 700;
-    /** The platform counts a longer deadline as this one when it times SIGKILL. */
+    /** For the earliest time of SIGKILL, the platform replaces a longer deadline by this one. */
     private static final long MAX_DEADLINE_MS = 3_000;
     /**
-     * Requests that arrive late in the shutdown are answered this long before SIGKILL: time limits have 50 ms
-     * of slack on sockets, and the process may pause for 150 ms between reading its clock and writing.
+     * Deadlines of requests that arrive late in the shutdown end this long before the earliest SIGKILL: an
+     * answer may be written 50 ms after its deadline, and the process may pause for 150 ms between reading
+     * its clock and writing.
      */
     private static final long KILL_MARGIN_MS = 200;
     /**
@@ -68,15 +69,15 @@
     private static final long MAX_LIST_WAIT_MS = 2_500;
     /** Pause before another attempt to listen, if the system was short of sockets only for a moment. */
     private static final long LISTEN_RETRY_MS = 20;
-    /** How long attempts to listen are repeated in the start. */
+    /** How long attempts to listen are repeated during the start. */
     private static final long LISTEN_TIMEOUT_MS = 5_000;
     /** How often the start checks whether the first list has arrived. */
     private static final long LIST_CHECK_INTERVAL_MS = 20;
 
     private final PollTimes pollTimes = new PollTimes();
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoopGroup =
             new MultiThreadIoEventLoopGroup(1, pollTimes.observe(NioIoHandler.newFactory()));
-    private final EventLoop loop = group.next();
+    private final EventLoop loop = eventLoopGroup.next();
     private final CountDownLatch shutdownComplete = new CountDownLatch(1);
     private final Config config;
     private final Sockets sockets;
@@ -203,7 +204,8 @@
             adminListener = listenWithRetries(() -> adminServer.listen(config.adminAddress()),
                     config.adminAddress());
         }
-        // Warm-up at the shared address could reach the other process and, through it, its backends.
+        // With an admin address, the warm-up uses a temporary port: at the configured address its requests
+        // could reach the other process and, through it, backends.
         InetSocketAddress initialAddress = hasAdminAddress
                 ? new InetSocketAddress(config.listen().getAddress(), 0) : config.listen();
         Channel listener = listenWithRetries(() -> frontend.listen(initialAddress, false), initialAddress);
@@ -214,8 +216,8 @@
                 serveOnceListReceived(listDeadlineNs);
             } else {
                 servingAddress.trySuccess(listenerAddress);
-                // Changes at discovery may count as delivered from the start, so the first call must have
-                // ended.
+                // The platform may regard changes at discovery as delivered to the proxy from its start on,
+                // so the proxy is not ready before the first call has ended.
                 discovery.onFirstCallEnded(this::becomeReady);
                 loop.schedule(discovery::markFirstCallEnded, listDeadlineNs - System.nanoTime(),
                         TimeUnit.NANOSECONDS);
@@ -262,38 +264,38 @@
     private static Channel listenWithRetries(Supplier<ChannelFuture> binding, InetSocketAddress address)
             throws Unusable, InterruptedException {
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LISTEN_TIMEOUT_MS);
-        ChannelFuture bound = binding.get().await();
-        while (!bound.isSuccess() && SystemError.of(bound.cause()).isMomentary()
+        ChannelFuture bindFuture = binding.get().await();
+        while (!bindFuture.isSuccess() && SystemError.of(bindFuture.cause()).isMomentary()
                 && System.nanoTime() - deadlineNs < 0) {
             Thread.sleep(LISTEN_RETRY_MS);
-            bound = binding.get().await();
+            bindFuture = binding.get().await();
         }
-        if (!bound.isSuccess()) {
-            throw new Unusable("can't listen at " + address, List.of(bound.cause().getMessage()));
+        if (!bindFuture.isSuccess()) {
+            throw new Unusable("can't listen at " + address, List.of(bindFuture.cause().getMessage()));
         }
-        return bound.channel();
+        return bindFuture.channel();
     }
 
     /**
      * Listens for clients once a list has been received and a backend can serve. The list in the
-     * configuration may be old; after {@code deadlineNs} it suffices all the same.
+     * configuration may be old, so it is used without a received one only after {@code deadlineNs}.
      */
     private void serveOnceListReceived(long deadlineNs) {
         if (frontend.isDraining()) {
             // SIGTERM arrived during the start; another process serves at the address or soon will.
             return;
         }
-        boolean waitEnded = discovery.hasReceivedList() || System.nanoTime() - deadlineNs > 0;
-        if (!waitEnded || !driver.canServe()) {
+        boolean listWaitEnded = discovery.hasReceivedList() || System.nanoTime() - deadlineNs > 0;
+        if (!listWaitEnded || !driver.canServe()) {
             loop.schedule(() -> serveOnceListReceived(deadlineNs), LIST_CHECK_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
             return;
         }
-        ChannelFuture bound = frontend.listen(config.listen(), true);
-        bound.addListener(done -> {
+        ChannelFuture bindFuture = frontend.listen(config.listen(), true);
+        bindFuture.addListener(done -> {
             if (done.isSuccess()) {
                 becomeReady();
-                servingAddress.trySuccess((InetSocketAddress) bound.channel().localAddress());
+                servingAddress.trySuccess((InetSocketAddress) bindFuture.channel().localAddress());
             } else if (SystemError.of(done.cause()).isMomentary()) {
                 loop.schedule(() -> serveOnceListReceived(deadlineNs), LISTEN_RETRY_MS,
                         TimeUnit.MILLISECONDS);
@@ -365,12 +367,12 @@
 
     /**
      * Shuts down after SIGTERM: drains and waits until all requests have ended, while the JVM, which runs
-     * this as a shutdown hook, waits before it exits. Requests left at its end would be lost, so it takes as
-     * long as they need: SIGKILL may come later than its earliest time.
+     * this as a shutdown hook, waits before it exits. Requests pending when the process exits would be lost,
+     * so the shutdown takes as long as they need, even past the earliest time at which SIGKILL may come.
      */
     void drainAndWait() {
-        // The clock is read on this thread, as a busy loop may run the following task late.
-        long signalUs = driver.clock().nowUs();
+        // Reads the clock before the task below is queued, as a busy loop may run that task late.
+        long sigtermUs = driver.clock().nowUs();
         loop.execute(() -> {
             if (!frontend.isListening() && fleetMember == null) {
                 // No requests were accepted, and there are no members to notify.
@@ -385,10 +387,11 @@
                 fleetMember.leave();
             }
             // A request sent over 0.7 s after SIGTERM must be answered before the earliest SIGKILL. SIGTERM
-            // may have been sent some time before this process handled it, so the bound starts sooner.
+            // may have been sent some time before this process handled it, so the limit applies to earlier
+            // requests too.
             long earliestKillMs = Math.min(MAX_DEADLINE_MS, longestDeadlineMs()) + MIN_KILL_DELAY_MS;
-            driver.limitDeadlines(signalUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
-                    signalUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
+            driver.limitDeadlines(sigtermUs + (ACCEPT_AFTER_SIGTERM_MS - KILL_MARGIN_MS) * 1000,
+                    sigtermUs + (earliestKillMs - KILL_MARGIN_MS) * 1000);
             loop.schedule(() -> {
                 frontend.stopListening();
                 completeShutdownWhenIdle();
@@ -435,7 +438,7 @@
         if (meters != null) {
             meters.close();
         }
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         try {
             if (maintenance != null) {
                 maintenance.close();
--- a/src/main/java/larkworks/proxy/StartTimes.java
+++ b/src/main/java/larkworks/proxy/StartTimes.java
@@ -17,7 +17,7 @@
  */
 final class StartTimes {
 
-    /** A list may arrive this long after a server's start without implying that the clocks differ. */
+    /** Maximum delay from a server's start to the list with it; a longer one is taken as a clock offset. */
     private static final long MAX_LIST_DELAY_US = 30_000_000;
 
     /** Maximum servers whose starts are kept, including servers that are no longer listed. */
@@ -32,7 +32,7 @@
     }
 
     private final long coldUs;
-    private final Map<String, KnownStart> starts = new LinkedHashMap<>() {
+    private final Map<String, KnownStart> knownStarts = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
@@ -40,12 +40,12 @@
             return size() > MAX_SERVERS;
         }
     };
-    /** Difference that converts a listed time to this process's clock. */
+    /** Added to a listed time to convert it to this process's clock. */
     private long clockOffsetUs;
     /** Whether a list remembered from before this process's start contained servers. */
     private boolean hasRememberedServers;
 
-    /** Creates an empty table; {@code coldUs} is how long a server counts as cold after its start. */
+    /** Creates an empty table; {@code coldUs} is how long a server is cold after its start. */
     StartTimes(long coldUs) {
         this.coldUs = coldUs;
     }
@@ -60,20 +60,20 @@
      */
     List<Server> toLocalClock(long nowUs, ListKind kind, List<Server> servers, long previousListUs,
             List<Server> corrected) {
-        long previousOffsetUs = clockOffsetUs;
+        long previousClockOffsetUs = clockOffsetUs;
         for (Server server : servers) {
-            KnownStart known = starts.get(server.id());
+            KnownStart known = knownStarts.get(server.id());
             boolean isUnchanged = known != null && known.listed.startedAtUs() == server.startedAtUs();
-            starts.put(server.id(), new KnownStart(server, isUnchanged ? known.localStartUs
+            knownStarts.put(server.id(), new KnownStart(server, isUnchanged ? known.localStartUs
                     : localStartUs(nowUs, kind, server.startedAtUs(), previousListUs)));
         }
         hasRememberedServers |= kind == ListKind.REMEMBERED && !servers.isEmpty();
-        if (clockOffsetUs != previousOffsetUs) {
+        if (clockOffsetUs != previousClockOffsetUs) {
             applyClockOffset(nowUs, corrected);
             Set<String> listedIds = servers.stream().map(Server::id).collect(Collectors.toSet());
             corrected.removeIf(server -> listedIds.contains(server.id()));
         }
-        return servers.stream().map(server -> starts.get(server.id()).withLocalStart()).toList();
+        return servers.stream().map(server -> knownStarts.get(server.id()).withLocalStart()).toList();
     }
 
     private long localStartUs(long nowUs, ListKind kind, long listedStartUs, long previousListUs) {
@@ -101,13 +101,14 @@
      * corrections from what this process observed stay in force.
      */
     private void applyClockOffset(long nowUs, List<Server> corrected) {
-        starts.replaceAll((id, start) -> {
-            long listedStartUs = start.listed.startedAtUs();
+        knownStarts.replaceAll((id, knownStart) -> {
+            long listedStartUs = knownStart.listed.startedAtUs();
             long localStartUs = Math.min(nowUs, listedStartUs + clockOffsetUs);
-            if (listedStartUs <= 0 || nowUs - localStartUs >= coldUs || localStartUs <= start.localStartUs) {
-                return start;
+            if (listedStartUs <= 0 || nowUs - localStartUs >= coldUs
+                    || localStartUs <= knownStart.localStartUs) {
+                return knownStart;
             }
-            KnownStart correctedStart = new KnownStart(start.listed, localStartUs);
+            KnownStart correctedStart = new KnownStart(knownStart.listed, localStartUs);
             corrected.add(correctedStart.withLocalStart());
             return correctedStart;
         });
