--- a/src/test/java/larkworks/proxy/AdminTest.java
+++ b/src/test/java/larkworks/proxy/AdminTest.java
@@ -100,7 +100,7 @@
                 bench.configJson(port, bench.fullList(7)));
         Main main = new Main(Config.read(file.toString(), bench.environment, Map.of()));
         main.start();
-        // The event loop runs the drain after the warm-up has begun and before it ends, iterations later.
+        // The warm-up takes several loop iterations; the event loop begins the drain during one of them.
         CompletableFuture<Void> ended = CompletableFuture.runAsync(main::drainAndWait);
         int acceptedConnections = 0;
         while (!ended.isDone()) {
@@ -154,7 +154,7 @@
         start();
         assertEquals(200, sendBackendCommand("down", "b0"));
         bench.stop();
-        // In production the next process has an admin address of its own, too.
+        // In production, too, the next process has an admin address of its own.
         assignAdminAddress();
         start();
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/larkworks/proxy/BackendPoolTest.java
+++ b/src/test/java/larkworks/proxy/BackendPoolTest.java
@@ -71,8 +71,8 @@
     }
 
     /**
-     * If no descriptor is left, an attempt ends as not sent, which is no failure of the backend. Later
-     * attempts are sent again.
+     * If no descriptor is left, an attempt ends as not sent, which does not count as a failure of the
+     * backend. Once a descriptor is free, attempts are sent again.
      */
     @Test
     void endsAttemptAsNotSentWhenNoDescriptorIsAvailable() throws Exception {
@@ -93,8 +93,8 @@
     }
 
     /**
-     * If the system provides no socket, the receiver is notified on the event loop, and the socket is not
-     * counted any more.
+     * If the system provides no socket, the answer's receiver is notified on the event loop, and the socket
+     * that was counted for the attempt is released.
      */
     @Test
     void notifiesReceiverOnEventLoopWhenSystemProvidesNoSocket() throws Exception {
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Each of these answers is malformed or unsupported. Its body may still be framed correctly, but need not
-     * be what the backend meant.
+     * Each of these answers is malformed or unsupported. The parser may still find a body, but not
+     * necessarily the one that the backend meant.
      */
     @ParameterizedTest
     @ValueSource(strings = {
--- a/src/test/java/larkworks/proxy/ClientDisconnectTest.java
+++ b/src/test/java/larkworks/proxy/ClientDisconnectTest.java
@@ -25,7 +25,7 @@
 class ClientDisconnectTest {
 
     private static final String EMPTY_LIST = TestBench.listJson(1, true);
-    /** How long the loop is blocked: longer than a new server's first request may wait (one aim, 2 s). */
+    /** How long the loop is blocked: longer than a request may wait for a new server (one aim, 2 s). */
     private static final int LOOP_BLOCKED_MS = 2_600;
 
     @TempDir
--- a/src/test/java/larkworks/proxy/ConnectionClosingTest.java
+++ b/src/test/java/larkworks/proxy/ConnectionClosingTest.java
@@ -25,7 +25,7 @@
     private static final int BUFFERED_ANSWER_BYTES = 40_000;
     /** Size of an answer that the proxy streams instead of buffering it. */
     private static final int STREAMED_ANSWER_BYTES = 66_000;
-    /** How long the event loop is blocked: past the request timeout and a request's deadline. */
+    /** How long the event loop is blocked: past the request timeout and the last request's deadline. */
     private static final int LOOP_BLOCKED_MS = 2_600;
 
     @TempDir
@@ -58,7 +58,7 @@
 
     // ---- unread bytes in the proxy's socket when the last answer is written
 
-    /** When the connection closes, most of the last but one answer is still in the kernel's send buffer. */
+    /** When the proxy closes the connection, most of the last but one answer is still in its send buffer. */
     @ParameterizedTest
     @EnumSource(CloseReason.class)
     void deliversAllAnswersDespiteUnreadNextRequest(CloseReason reason) throws Exception {
@@ -81,7 +81,8 @@
     @EnumSource(CloseReason.class)
     void deliversStreamedLastAnswerDespiteUnreadNextRequest(CloseReason reason) throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
-            // If both connections are readable the older one is read first: the backend's must be older.
+            // If both connections are readable, the proxy reads the older one first. Here that must be the
+            // backend's.
             bench.poolBackendConnection(0);
             TestBench.Client client = bench.clientWithSmallBuffer().send(
                     reason.requestText("GET /look", "last", 20_000));
--- a/src/test/java/larkworks/proxy/DescriptorReserveTest.java
+++ b/src/test/java/larkworks/proxy/DescriptorReserveTest.java
@@ -46,10 +46,10 @@
             bench.drainGraceUs = 5_000_000;
             bench.start(folder);
             for (int i = 0; i < 6; i++) {
-                // After these failed calls the delay before the next call is most of a second.
+                // After six failed calls the proxy waits for most of a second before the next one.
                 bench.discovery.next().reply(503, "");
             }
-            // Four of the eight descriptors are for connections: two from clients, one to each backend.
+            // Connections may use four of the eight descriptors: two from clients, one to each backend.
             TestBench.Client firstClient = bench.client().sendLook("one");
             StubServer.Message firstRequest = bench.backends.get(bench.awaitBackendWithRequest()).next();
             TestBench.Client secondClient = bench.client().sendLook("other");
--- a/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -24,11 +24,11 @@
 class DiscoveryDeadlinesTest {
 
     /**
-     * A change counts as delivered this long after a reachable discovery had it, or after the watch that
-     * should have reported it stopped receiving.
+     * A change counts as delivered this long after discovery had it while reachable, or after the watch
+     * that should have reported it became silent.
      */
     private static final long DELIVERY_LIMIT_MS = 6_000;
-    /** Maximum measurements; the best one counts, as a busy machine only makes a measured time longer. */
+    /** Maximum number of measurements; the shortest counts, as a busy machine only lengthens them. */
     private static final int MAX_TRIES = 3;
     /** The number of backends in the largest deployment that is tested. */
     private static final int LARGE_LIST_SIZE = 1_100;
@@ -298,8 +298,8 @@
     }
 
     /**
-     * A new configuration names another discovery service. It never answers the first call there, and a
-     * backend drains right after its next answer.
+     * A reload names another discovery service. This service never answers the proxy's first call, and a
+     * backend drains right after it has answered the second.
      */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
@@ -347,8 +347,8 @@
     }
 
     /**
-     * The discovery service that a reload names has lower indexes than the proxy's list, or answers 404 to
-     * its index.
+     * A reload names another discovery service, whose indexes are lower than that of the proxy's list, or
+     * which answers 404 to a call with that index.
      */
     @ParameterizedTest
     @CsvSource({"pushed,lower", "pushed,404", "on_request,lower", "on_request,404"})
--- a/src/test/java/larkworks/proxy/EventRaceTest.java
+++ b/src/test/java/larkworks/proxy/EventRaceTest.java
@@ -146,7 +146,7 @@
             StubServer.Message request = bench.backends.get(0).next();
             client.send(lookRequest("b").repeat(2_000));
             disconnect.apply(client);
-            // The proxy notices the disconnect only if it continues reading behind the pipelined requests.
+            // The proxy notices the disconnect only if it reads on past the pipelined requests.
             request.awaitConnectionEnd();
             assertNextRequestIsOfAnotherClient(bench, 0);
         }
@@ -156,7 +156,7 @@
     @EnumSource(Disconnect.class)
     void doesNotSendRequestReceivedTogetherWithDisconnect(Disconnect disconnect) throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
-            // As from the listener's accept queue, where both wait while descriptors are scarce.
+            // Both arrive together, as from the accept queue, where they wait while descriptors are scarce.
             bench.inOneLoopIteration(() -> disconnect.apply(bench.client().sendLook("gone")));
             assertNextRequestIsOfAnotherClient(bench, 0);
         }
@@ -247,7 +247,7 @@
         }
     }
 
-    /** An answer of unknown length is streamed as it arrives; it ends when its client disconnects. */
+    /** An answer of unknown length is streamed as it arrives, and aborted when its client disconnects. */
     @ParameterizedTest
     @ValueSource(strings = {"\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"})
     void endsStreamedAnswerWhenClientDisconnects(String partialAnswer) throws Exception {
--- a/src/test/java/larkworks/proxy/GracefulShutdownTest.java
+++ b/src/test/java/larkworks/proxy/GracefulShutdownTest.java
@@ -108,7 +108,7 @@
                 for (int i = 0; i < 60; i++) {
                     clients.add(bench.client().sendLook(Integer.toString(i)));
                 }
-                // When the loop resumes, the listener's closing time has passed: it closes in that iteration.
+                // The listener's closing time passes meanwhile, so the loop closes it in its next iteration.
                 Thread.sleep(1_000);
             });
             for (int i = 0; i < clients.size(); i++) {
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -333,8 +333,8 @@
     }
 
     /**
-     * The reset fails the body's write before the answer's read. An answer that ends with its connection
-     * must not look complete then.
+     * When the backend resets its connection, the proxy's write of the request body fails before its read
+     * of the answer. An answer that is delimited by the connection's end must not look complete then.
      */
     @ParameterizedTest
     @ValueSource(ints = {1_000, 100_000})
@@ -516,7 +516,7 @@
         assertTrue(server.isEndedByPeer());
     }
 
-    /** The answer is being streamed when the proxy aborts it because the request's body stalls. */
+    /** The proxy aborts an answer that it already streams, because the request's body stalls. */
     @Test
     void abortedAnswerDelimitedByCloseDoesNotLookComplete() throws Exception {
         RawConnection client = client().send(postRequest("r", "Content-Length: 200000\r\n")
--- a/src/test/java/larkworks/proxy/LargeFleetTest.java
+++ b/src/test/java/larkworks/proxy/LargeFleetTest.java
@@ -30,7 +30,7 @@
         return bench.backends.get(server % LISTENER_COUNT).address();
     }
 
-    /** Sends requests one by one and asserts that all are served, by the given listener unless it is -1. */
+    /** Sends requests one by one; each must be served, by the given listener or, if that is -1, by any. */
     private static void assertServedBy(TestBench bench, int listener) throws Exception {
         for (int i = 0; i < REQUESTS_PER_CHECK; i++) {
             int servedBy = bench.serveOneRequest();
--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -38,7 +38,10 @@
         register(0);
     }
 
-    /** Starts the proxy while the registry is unreachable; it serves by the known list, then the new one. */
+    /**
+     * Starts the proxy while the registry is unreachable. Checks that it serves by the list in its
+     * configuration and, once the registry is reachable, by the registry's list.
+     */
     private void startProxy(String discoveryJson) throws Exception {
         // The list in the configuration contains the second backend only.
         String knownList = TestBench.listJson(9, true, bench.entry(1, "in_service"));
@@ -122,7 +125,7 @@
         startProxy('"' + relay.address() + '"');
         relay.setRefusing(true);
         registry.kill();
-        startRegistry("other");  // the data is lost: its index exceeds the old one, b0 was never in it
+        startRegistry("other");  // an empty folder: b0 is not in its list, whose index is higher
         registryClient.register("x", "127.0.0.1:2", "");
         registryClient.status("x", "terminated");
         register(1);
--- a/src/test/java/larkworks/proxy/PendingRequestsTest.java
+++ b/src/test/java/larkworks/proxy/PendingRequestsTest.java
@@ -28,7 +28,7 @@
 @Timeout(120)
 class PendingRequestsTest {
 
-    /** Records the answers that the driver gives, and the deliveries to notify once an answer is written. */
+    /** Records the driver's answers, and with each the delivery to notify once the answer is written. */
     private static final class RecordingClient implements Driver.Client {
         private final List<String> answers = new ArrayList<>();
         private final List<Driver.Delivery> deliveries = new ArrayList<>();
--- a/src/test/java/larkworks/proxy/PlatformBench.java
+++ b/src/test/java/larkworks/proxy/PlatformBench.java
@@ -40,7 +40,7 @@
     private Logger enabledLogger;
     private Meters meters;
 
-    /** Starts logging at level info, except for the component {@code on}, which logs at level debug. */
+    /** Starts logging at level info, except for the logger named "on", which logs at level debug. */
     @Setup
     public void setUp() {
         Logs.start(new LogSettings(org.slf4j.event.Level.INFO, Map.of("on", org.slf4j.event.Level.DEBUG)),
--- a/src/test/java/larkworks/proxy/ProcessTest.java
+++ b/src/test/java/larkworks/proxy/ProcessTest.java
@@ -85,8 +85,9 @@
                 while (readinessStatus(readinessClient) == 200) {
                     Thread.onSpinWait();
                 }
-                // Its budget ends 1.5 s after the longest deadline. A request that arrives within 0.7 s of
-                // SIGTERM has its deadline before the earliest SIGKILL, but possibly less than 0.5 s before.
+                // The shutdown's budget ends 1.5 s after the longest deadline. A request that arrives within
+                // 0.7 s of SIGTERM has its deadline before the earliest SIGKILL, but possibly less than 0.5 s
+                // before.
                 client.sendLook("hung", 2_500);
                 bench.backends.get(0).next();
                 StubServer.Message answer = client.answer();
@@ -109,7 +110,7 @@
                 TestBench.Client slowClient = bench.client().send("GET /look HTTP/1.1\r\nHost: x\r\n");
                 TestBench.Client idleClient = bench.client();
                 process.destroy();
-                // A client would send requests on an idle connection left open, until SIGKILL.
+                // On an idle connection that the proxy left open, a client would send requests until SIGKILL.
                 assertNull(idleClient.answer());
                 slowClient.send("X-Call-Id: late\r\nX-Call-Class: look\r\nX-Budget-Ms: 20000\r\n\r\n");
                 StubServer.Message answer = slowClient.answer();
@@ -209,7 +210,8 @@
                 StubServer.Message repeatedCall = bench.discovery.next();
                 assertTrue(repeatedCall.line().startsWith("GET /registry/instances?index=7&"),
                         repeatedCall.line());
-                // Once this call has ended, the proxy has moved back; an earlier answer would be applied.
+                // Answer only after the proxy has closed this call and thereby switched back to the old
+                // discovery; before that, it would rightly apply the answer.
                 call.awaitConnectionEnd();
                 try {
                     call.reply(200, TestBench.listJson(8, true, bench.entry(1, "in_service")));
--- a/src/test/java/larkworks/proxy/ProxyFleet.java
+++ b/src/test/java/larkworks/proxy/ProxyFleet.java
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Returns a free port that this fleet doesn't use yet. Each free port is closed again at once, so the
-     * system may return it a second time; this does happen among a hundred ports.
+     * Returns a free port that this fleet doesn't use yet. A port that was found free is closed again
+     * at once, so the system may return it twice, which does happen among a hundred ports.
      */
     private int unusedPort() throws IOException {
         int port = TestBench.freePort();
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -177,8 +177,8 @@
     }
 
     /**
-     * Guards against a client that copies another request's id: its rejected request was repeated, its
-     * backends were ejected, and valid requests were then refused.
+     * A client may copy another request's id, so that backends answer 400. Guards against a proxy that
+     * repeats such a request, ejects the backends and then refuses valid requests.
      */
     @Test
     void failsRequestOnBackendStatus400WithoutEjectingBackends() throws Exception {
@@ -218,7 +218,7 @@
         }
     }
 
-    /** At the deadline the client gets one failure; the backend's late answer is dropped. */
+    /** At the deadline the client gets one failure; an answer of the backend after that is dropped. */
     @Test
     void failsRequestOnceShortlyBeforeItsDeadline() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
@@ -299,8 +299,8 @@
     }
 
     /**
-     * A drain during an outage of pushed discovery is notified late. Its grace period counts from the last
-     * time at which the list was up to date, not from when the proxy receives the new list.
+     * The proxy learns of a drain during an outage of pushed discovery only after the outage. The drain's
+     * grace period counts from the last time at which the list was up to date, not from its arrival.
      */
     @Test
     void sendsNothingToBackendWhoseDrainWasMissedForItsGracePeriod() throws Exception {
@@ -344,7 +344,8 @@
                 call = bench.discovery.next();
                 pausesMs.add((System.nanoTime() - failedAtNs) / 1_000_000);
             }
-            // The pauses stop growing by the sixth; the median tolerates two of five that the machine delays.
+            // From the sixth on, pauses no longer grow. The median of five tolerates two long delays by
+            // the machine.
             long medianMs = pausesMs.subList(6, 11).stream().sorted().toList().get(2);
             assertTrue(medianMs < 500, "pauses between calls to discovery in ms: " + pausesMs);
         }
@@ -447,7 +448,7 @@
         }
     }
 
-    /** Changes that a silent watch misses count as delivered after 6 s; a new watch must be open by then. */
+    /** Changes that a silent watch misses count as delivered after 6 s; the proxy must reopen it before. */
     @Test
     void watchWaitStaysBelowNotificationLimit() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
@@ -460,7 +461,10 @@
         }
     }
 
-    /** The pause that follows a failure must not apply: changes missed in it would count as delivered. */
+    /**
+     * A silent watch is reopened without the pause that follows a failure: changes missed in that pause
+     * would count as delivered.
+     */
     @Test
     void reopensSilentWatchAtOnceInOnRequestMode() throws Exception {
         try (TestBench bench = new TestBench(1)) {
@@ -477,8 +481,8 @@
     }
 
     /**
-     * If the next call came sooner after a failure, it would count as the continuation of the failed watch,
-     * and changes missed in between would count as delivered.
+     * A call too soon after a failure would count as the continuation of the failed watch, and changes
+     * missed in between would count as delivered.
      */
     @Test
     void doesNotRetryWhileFailedWatchCountsAsOpen() throws Exception {
@@ -549,7 +553,7 @@
         }
     }
 
-    /** Guards against idle connections that keep the descriptors which requests need. */
+    /** Guards against connections without a valid request that use up the descriptors for requests. */
     @Test
     void closesUnprovenConnections() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
@@ -628,7 +632,7 @@
         return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
 
-    /** Sends a request that the given backend must receive, and has it served. */
+    /** Sends a request that the given backend must receive, and answers it from that backend. */
     private static void assertServedBy(TestBench bench, int backend) throws Exception {
         TestBench.Client client = bench.client().sendLook("s");
         StubServer.Message request = bench.backends.get(backend).next();
--- a/src/test/java/larkworks/proxy/ResourceLimitTest.java
+++ b/src/test/java/larkworks/proxy/ResourceLimitTest.java
@@ -65,8 +65,9 @@
     }
 
     /**
-     * The proxy closes the connections that are silent for longest, or rejects the newest. Otherwise an
-     * incomplete body stays buffered until its timeout, several seconds later.
+     * At the limit, the proxy closes the connections that have been silent for longest, or rejects the
+     * newest. Without a limit, an incomplete body would stay buffered until its timeout, several seconds
+     * later.
      */
     @Test
     void limitsTotalBytesOfBufferedBodies() throws Exception {
--- a/src/test/java/larkworks/proxy/StartupExperiment.java
+++ b/src/test/java/larkworks/proxy/StartupExperiment.java
@@ -59,7 +59,8 @@
                 TestBench bench = new TestBench(0)) {
             Set<Integer> ports = new HashSet<>();
             while (ports.size() < 2 * processCount) {
-                ports.add(TestBench.freePort());  // may return a port twice, since it is closed again
+                // A set, because freePort() closes the port again and may return it twice.
+                ports.add(TestBench.freePort());
             }
             List<Integer> freePorts = List.copyOf(ports);
             List<Thread> pollers = new ArrayList<>();
--- a/src/test/java/larkworks/proxy/StubServer.java
+++ b/src/test/java/larkworks/proxy/StubServer.java
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Waits for the accepting thread too: until its accept call returns, the port takes connections. */
+    /** Also waits for the accept thread to end: until its accept call returns, the port takes connections. */
     @Override
     public void close() throws IOException {
         listener.close();
