--- a/src/test/java/larkworks/proxy/BackendPoolTest.java
+++ b/src/test/java/larkworks/proxy/BackendPoolTest.java
@@ -54,7 +54,7 @@
     private void startExchange(BackendPool pool, StubServer peer, FullHttpRequest request) {
         InetSocketAddress address = Config.address(peer.address());
         group.next().execute(() -> pool.startExchange(address, () -> request,
-                a -> outcomes.add(a.outcome())));
+                answer -> outcomes.add(answer.outcome())));
     }
 
     private static FullHttpRequest newRequest() {
@@ -109,8 +109,8 @@
         BlockingQueue<Boolean> calledOnEventLoop = new LinkedBlockingQueue<>();
         group.next().execute(() -> {
             BackendPool.Exchange exchange = pool.startExchange(Config.address(backend.address()),
-                    BackendPoolTest::newRequest, a -> {
-                        outcomes.add(a.outcome());
+                    BackendPoolTest::newRequest, answer -> {
+                        outcomes.add(answer.outcome());
                         calledOnEventLoop.add(group.next().inEventLoop());
                     });
             outcomes.add(exchange.hasStarted() ? Outcome.OK : Outcome.CANCELLED);
@@ -163,7 +163,7 @@
         BackendPool pool = createPool(new Sockets(16, 0));
         group.next().execute(() -> pool.startExchange(Config.address(backend.address()), () -> {
             throw new IllegalArgumentException("simulated: a header contains a line break");
-        }, a -> outcomes.add(a.outcome())));
+        }, answer -> outcomes.add(answer.outcome())));
         assertEquals(Outcome.NOT_SENT, nextOutcome());
         startExchange(pool, backend, newRequest());
         backend.next().reply(200, "");
@@ -175,7 +175,7 @@
     void distinguishesResetAfterWriteFromConnectFailure() throws Exception {
         BackendPool pool = createPool(new Sockets(16, 0));
         startExchange(pool, backend, newRequest());
-        backend.next().reset();
+        backend.next().resetConnection();
         assertEquals(Outcome.RESET, nextOutcome());
         backend.close();
         startExchange(pool, backend, newRequest());
@@ -219,7 +219,7 @@
             startExchange(pool, backend, newRequest());
             StubServer.Message message = backend.next();
             message.sendRaw("HTTP/1.1 200 OK\r\n\r\nhalf of the bod");
-            message.reset();
+            message.resetConnection();
             assertEquals(Outcome.RESET, nextOutcome());
         }
         startExchange(pool, backend, newRequest());
@@ -293,7 +293,7 @@
                 throw new IllegalStateException(e);
             }
             pool.startExchange(address, BackendPoolTest::newRequest,
-                    a -> bodies.add(BackendPool.asciiText(a.body())));
+                    answer -> bodies.add(BackendPool.asciiText(answer.body())));
         });
         backend.next().reply(200, "next");
         assertEquals("next", bodies.poll(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
--- a/src/test/java/larkworks/proxy/DescriptorReserveTest.java
+++ b/src/test/java/larkworks/proxy/DescriptorReserveTest.java
@@ -119,7 +119,7 @@
                 StubServer.Message watchCall = bench.discovery.next();
                 Program.await(30, proxy.lines::toString, () -> isReady(adminPort));
 
-                watchCall.reset();
+                watchCall.resetConnection();
                 connectIdleClients(bench);
                 StubServer.Message failedCall = bench.discovery.next();
                 failedCall.reply(503, "");
--- a/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -64,7 +64,7 @@
     /** Makes a call fail: resets or closes its connection, or answers it without a list. */
     private static void failCall(StubServer.Message call, String failure) throws Exception {
         switch (failure) {
-            case "reset" -> call.reset();
+            case "reset" -> call.resetConnection();
             case "end" -> call.socket().close();
             case "empty" -> call.reply(200, "");
             default -> call.reply(Integer.parseInt(failure), "");
@@ -289,7 +289,7 @@
             bench.discoveryMode = mode;
             bench.start(folder);
             bench.discovery.next().reply(200, bench.fullList(1));
-            awaitCallAfterList(bench, 1).reset();
+            awaitCallAfterList(bench, 1).resetConnection();
             StubServer.Message reopenedWatch = awaitCallAfterList(bench, 1);
             reopenedWatch.reply(200, TestBench.listJson(2, false, bench.entry(0, "terminating")));
             awaitCallAfterList(bench, 2);
@@ -313,11 +313,11 @@
             try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
                 bench.discovery.next().reply(200, bench.fullList(1));
                 awaitCallAfterList(bench, 1);
-                int[] reloads = {1};
+                int[] reloadCount = {1};
                 int[] listIndex = {1};
                 String[] addresses = {bench.discovery.address(), otherDiscovery.address()};
                 assertBestTryWithin(4_000, () -> {
-                    String newAddress = addresses[reloads[0] % 2];
+                    String newAddress = addresses[reloadCount[0] % 2];
                     StubServer newDiscovery = newAddress.equals(otherDiscovery.address()) ? otherDiscovery
                             : bench.discovery;
                     Files.writeString(file, config.replace(bench.discovery.address(), newAddress));
@@ -335,7 +335,7 @@
                     long tookMs = elapsedMs(reloadNs);
                     Program.await(20, proxy.lines::toString, () -> isReady(bench));
                     assertServedBy(bench, 1);
-                    reloads[0]++;
+                    reloadCount[0]++;
                     return tookMs;
                 });
             }
--- a/src/test/java/larkworks/proxy/FailOverTest.java
+++ b/src/test/java/larkworks/proxy/FailOverTest.java
@@ -33,7 +33,7 @@
             call.reply(200, bench.fullList(7), EPOCH_HEADER);
             call = bench.discovery.next();
             assertWatches(7, call);
-            call.reset();
+            call.resetConnection();
             call = secondReplica.next();
             assertWatches(7, call);
             call.reply(200, TestBench.listJson(9, false, bench.entry(0, "terminating")), EPOCH_HEADER);
@@ -50,7 +50,7 @@
             bench.discovery.next().reply(503, "{}");
             StubServer.Message call = secondReplica.next();
             assertWatches(7, call);
-            call.reset();  // a reset does not say whether the index is known
+            call.resetConnection();  // a reset does not say whether the index is known
             call = bench.discovery.next();
             assertWatches(7, call);
             call.reply(503, "{}");
@@ -64,7 +64,7 @@
             bench.otherDiscoveries = List.of(secondReplica);
             bench.start(folder);
             bench.discovery.next().reply(200, bench.fullList(7));
-            bench.discovery.next().reset();
+            bench.discovery.next().resetConnection();
             assertEquals(FULL_LIST_REQUEST, secondReplica.next().line());
         }
     }
@@ -89,7 +89,7 @@
             bench.otherDiscoveries = List.of(secondReplica);
             bench.start(folder);
             bench.discovery.next().reply(200, bench.fullList(7), EPOCH_HEADER);
-            bench.discovery.next().reset();
+            bench.discovery.next().resetConnection();
             secondReplica.next().reply(200, TestBench.listJson(9, false), "X-Registry-Epoch: two");
             assertEquals(FULL_LIST_REQUEST, bench.discovery.next().line());
         }
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -133,7 +133,7 @@
         }
 
         /** Reads until the other side ends the connection, by FIN or reset; then returns true. */
-        boolean isEndedByPeer() throws IOException {
+        boolean awaitEndByPeer() throws IOException {
             try {
                 while (in.read() >= 0) {
                     // Skip remaining bytes.
@@ -170,11 +170,11 @@
     }
 
     /** Writes the whole body on another thread and counts the bytes written. */
-    private CompletableFuture<Void> writeBody(RawConnection to, AtomicLong writtenBytes) {
+    private CompletableFuture<Void> writeBody(RawConnection target, AtomicLong writtenBytes) {
         return CompletableFuture.runAsync(() -> {
             try {
-                for (int at = 0; at < LARGE_BODY_BYTES; at += 64_000) {
-                    to.send(body, at, at + 64_000);
+                for (int offset = 0; offset < LARGE_BODY_BYTES; offset += 64_000) {
+                    target.send(body, offset, offset + 64_000);
                     writtenBytes.addAndGet(64_000);
                 }
             } catch (IOException e) {
@@ -246,13 +246,13 @@
             servers.add(server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         }
         System.gc();
-        long usedBefore = io.netty.util.internal.PlatformDependent.usedDirectMemory();
+        long usedBeforeBytes = io.netty.util.internal.PlatformDependent.usedDirectMemory();
         AtomicLong writtenBytes = new AtomicLong();
         for (RawConnection server : servers) {
             CompletableFuture.runAsync(() -> {
                 try {
-                    for (int at = 0; at < LARGE_BODY_BYTES / 4; at += 8000) {
-                        server.send("1f40\r\n").send(body, at, at + 8000).send("\r\n");
+                    for (int offset = 0; offset < LARGE_BODY_BYTES / 4; offset += 8000) {
+                        server.send("1f40\r\n").send(body, offset, offset + 8000).send("\r\n");
                         writtenBytes.addAndGet(8000);
                     }
                     server.send("0\r\n\r\n");
@@ -262,7 +262,7 @@
             });
         }
         awaitStall(writtenBytes);
-        long bufferedBytes = io.netty.util.internal.PlatformDependent.usedDirectMemory() - usedBefore;
+        long bufferedBytes = io.netty.util.internal.PlatformDependent.usedDirectMemory() - usedBeforeBytes;
         assertTrue(bufferedBytes < 12 << 20, "bytes buffered outside the heap: " + bufferedBytes);
         for (RawConnection client : clients) {
             client.readHead();
@@ -490,7 +490,7 @@
                 + getRequest("smuggled"));
         String head = client.readHead();
         assertTrue(head.startsWith("HTTP/1.1 400 "), head);
-        assertTrue(client.isEndedByPeer(), "bytes behind the bad head must not be read as a request");
+        assertTrue(client.awaitEndByPeer(), "bytes behind the bad head must not be read as a request");
         backend.setSoTimeout(100);
         assertThrows(java.net.SocketTimeoutException.class, backend::accept);
     }
@@ -500,7 +500,7 @@
     void rejectsMalformedChunks(String chunks) throws Exception {
         RawConnection client = client().send(postRequest("r", "Transfer-Encoding: chunked\r\n") + chunks);
         assertTrue(client.readHead().startsWith("HTTP/1.1 400 "));
-        assertTrue(client.isEndedByPeer());
+        assertTrue(client.awaitEndByPeer());
     }
 
     @Test
@@ -510,10 +510,10 @@
         RawConnection server = acceptBackendConnection();
         server.readHead();
         long startNs = System.nanoTime();
-        assertTrue(client.isEndedByPeer());
+        assertTrue(client.awaitEndByPeer());
         assertTrue(System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(8),
                 "100 kB extend the body's timeout by two seconds only");
-        assertTrue(server.isEndedByPeer());
+        assertTrue(server.awaitEndByPeer());
     }
 
     /** The proxy aborts an answer that it already streams, because the request's body stalls. */
@@ -537,7 +537,7 @@
         RawConnection server = acceptBackendConnection();
         server.readHead();
         sender.socket.close();
-        assertTrue(server.isEndedByPeer());
+        assertTrue(server.awaitEndByPeer());
 
         RawConnection reader = client().send(getRequest("s"));
         RawConnection secondServer = acceptBackendConnection();
@@ -546,6 +546,6 @@
                 100_000);
         reader.readHead();
         reader.socket.close();
-        assertTrue(secondServer.isEndedByPeer());
+        assertTrue(secondServer.awaitEndByPeer());
     }
 }
--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -98,9 +98,10 @@
         startProxy("[\"127.0.0.1:1\",\"" + relay.address() + "\"]");  // nothing listens at the first address
         relay.setRefusing(true);
         registry.kill();
-        int refusedBefore = relay.refusedConnections.get();
+        int refusedCountBefore = relay.refusedConnections.get();
         // The outage lasts for several attempts, until well after the pause between them is at its maximum.
-        Program.await(30, proxy.lines::toString, () -> relay.refusedConnections.get() >= refusedBefore + 7);
+        Program.await(30, proxy.lines::toString,
+                () -> relay.refusedConnections.get() >= refusedCountBefore + 7);
         assertEquals(0, bench.serveOneRequest());
         startRegistry("data");
         relay.setTarget(registryAddress());
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -143,7 +143,7 @@
             TestBench.Client client = bench.client().sendPost("act", "r", "x");
             StubServer.Message request = nextRequest(bench);
             switch (failure) {
-                case "reset" -> request.reset();
+                case "reset" -> request.resetConnection();
                 case "end" -> request.socket().close();
                 case "cut" -> {
                     request.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
@@ -212,7 +212,7 @@
     void retriesSafeRequestAtOtherBackendAfterReset() throws Exception {
         try (TestBench bench = new TestBench(2).start(folder)) {
             TestBench.Client client = bench.client().sendLook("r");
-            nextRequest(bench).reset();
+            nextRequest(bench).resetConnection();
             nextRequest(bench).reply(200, "second");
             assertEquals("second", client.answer().text());
         }
@@ -368,7 +368,7 @@
             assertEquals(200, readinessStatus(bench.client()));
 
             watch.reply(503, "");
-            bench.discovery.next().reset();
+            bench.discovery.next().resetConnection();
             StubServer.Message retry = bench.discovery.next();
             assertTrue(retry.line().contains("index=7"), retry.line());
             assertServedBy(bench, 0);
@@ -526,7 +526,7 @@
     @Test
     void rejectsInvalidRequestsWithoutForwardingThem() throws Exception {
         String validHeaders = "Host: x\r\nX-Call-Id: 1\r\n";
-        List<List<String>> statusAndRequest = List.of(
+        List<List<String>> expectedStatusAndRequest = List.of(
                 List.of("400", "GET /look HTTP/1.1\r\nX-Call-Class: look\r\n\r\n"),
                 List.of("400", "GET /nosuch HTTP/1.1\r\n" + validHeaders + "X-Call-Class: nosuch\r\n\r\n"),
                 List.of("400", "GET * HTTP/1.1\r\n" + validHeaders + "\r\n"),
@@ -544,9 +544,9 @@
                         + "X-Call-Class: act\r\nContent-Length: 33554433\r\n\r\n"),
                 List.of("400", "nonsense\r\n\r\n"));
         try (TestBench bench = new TestBench(1).start(folder)) {
-            for (List<String> request : statusAndRequest) {
-                TestBench.Client client = bench.client().send(request.get(1));
-                assertEquals(request.get(0), String.valueOf(client.status()), request.get(1));
+            for (List<String> pair : expectedStatusAndRequest) {
+                TestBench.Client client = bench.client().send(pair.get(1));
+                assertEquals(pair.get(0), String.valueOf(client.status()), pair.get(1));
             }
             assertEquals(0, bench.backends.get(0).connections());
             assertServedBy(bench, 0);
@@ -559,9 +559,9 @@
         try (TestBench bench = new TestBench(1).start(folder)) {
             bench.discovery.next().reply(200, bench.fullList(1));
             bench.discovery.next();
-            TestBench.Client proven = bench.client().sendLook("r");
+            TestBench.Client provenClient = bench.client().sendLook("r");
             bench.backends.get(0).next().reply(200, "");
-            assertEquals(200, proven.status());
+            assertEquals(200, provenClient.status());
             TestBench.Client silentClient = bench.client();
             TestBench.Client readinessOnlyClient = bench.client();
             assertEquals(200, readinessStatus(readinessOnlyClient));
@@ -574,7 +574,7 @@
                     : List.of(silentClient, readinessOnlyClient, partialHeadClient, partialBodyClient)) {
                 assertNull(client.answer());
             }
-            assertEquals(200, readinessStatus(proven),
+            assertEquals(200, readinessStatus(provenClient),
                     "a client that has sent a valid request may pause for longer");
             assertEquals(0, bench.backends.get(0).pendingMessages());
         }
--- a/src/test/java/larkworks/proxy/RepeatWindowTest.java
+++ b/src/test/java/larkworks/proxy/RepeatWindowTest.java
@@ -30,7 +30,7 @@
                     TestBench.entry("late", hangingBackend.address(), "in_service")));
             TestBench.Client client = bench.client().sendPost("pay", "r1", "x", "Idempotency-Key: k1\r\n");
             StubServer.Message firstAttempt = bench.backends.get(0).next();
-            firstAttempt.reset();
+            firstAttempt.resetConnection();
             // The operating system retries the connection attempt after one second.
             Thread.sleep(DEDUP_WINDOW_US / 1000);
             Socket retryConnection = hangingBackend.accept();
--- a/src/test/java/larkworks/proxy/ReplacementTest.java
+++ b/src/test/java/larkworks/proxy/ReplacementTest.java
@@ -40,7 +40,7 @@
         bench.useProxyAt(TestBench.freePort());
         bench.answerDiscoveryWith(bench.fullList(7));
         for (StubServer backend : bench.backends) {
-            spawn(() -> serve(backend));
+            startThread(() -> serve(backend));
         }
         Files.writeString(folder.resolve("config.json"), bench.configJson(bench.port(), bench.fullList(7)));
         Files.createDirectory(folder.resolve("tmp"));
@@ -61,7 +61,7 @@
         void run() throws Exception;
     }
 
-    private void spawn(ThrowingTask task) {
+    private void startThread(ThrowingTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -104,9 +104,10 @@
     }
 
     /** Sends requests until stopped, on new and on kept-alive connections; asserts that each is served. */
-    private void sendRequests(String name, List<String> servedIds, AtomicBoolean isStopped) throws Exception {
+    private void sendRequests(String name, List<String> servedIds, AtomicBoolean stopRequested)
+            throws Exception {
         TestBench.Client keepAliveClient = bench.client();
-        for (int i = 0; !isStopped.get(); i++) {
+        for (int i = 0; !stopRequested.get(); i++) {
             String id = name + "-" + i;
             if (i % 3 == 0) {
                 keepAliveClient.socket().close();
@@ -130,7 +131,7 @@
         awaitReady(oldAdminPort);
         TestBench.Client idleClient = bench.client();
         assertEquals(200, idleClient.sendLook("first").status());
-        AtomicBoolean isStopped = new AtomicBoolean();
+        AtomicBoolean stopRequested = new AtomicBoolean();
         List<String> servedIds = Collections.synchronizedList(new ArrayList<>());
         List<Throwable> failures = Collections.synchronizedList(new ArrayList<>());
         List<Thread> clients = new ArrayList<>();
@@ -138,7 +139,7 @@
             String name = "c" + i;
             Thread client = new Thread(() -> {
                 try {
-                    sendRequests(name, servedIds, isStopped);
+                    sendRequests(name, servedIds, stopRequested);
                 } catch (Throwable e) {
                     failures.add(e);
                 }
@@ -154,11 +155,11 @@
         long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs);
         oldProcess.destroy();
         assertTrue(oldProcess.waitFor(StubServer.TIMEOUT_S, TimeUnit.SECONDS));
-        int servedBefore = servedIds.size();
-        while (servedIds.size() < servedBefore + 100 && failures.isEmpty()) {
+        int servedCountBefore = servedIds.size();
+        while (servedIds.size() < servedCountBefore + 100 && failures.isEmpty()) {
             Thread.sleep(10);
         }
-        isStopped.set(true);
+        stopRequested.set(true);
         for (Thread client : clients) {
             client.join();
         }
--- a/src/test/java/larkworks/proxy/ResourceLimitTest.java
+++ b/src/test/java/larkworks/proxy/ResourceLimitTest.java
@@ -26,11 +26,11 @@
         try (TestBench bench = new TestBench(1)) {
             bench.maxSockets = 128;
             bench.start(folder);
-            AtomicBoolean stop = new AtomicBoolean();
+            AtomicBoolean stopRequested = new AtomicBoolean();
             List<TestBench.Client> unprovenClients = new ArrayList<>();
             Thread connector = new Thread(() -> {
                 try {
-                    for (int i = 0; i < 2_000 && !stop.get(); i++) {
+                    for (int i = 0; i < 2_000 && !stopRequested.get(); i++) {
                         TestBench.Client unprovenClient = bench.client();
                         unprovenClients.add(unprovenClient);
                         if (i % 2 == 0) {
@@ -59,7 +59,7 @@
             }
             bench.backends.get(0).next().reply(200, "at last");
             assertEquals("at last", slowClient.answer().text());
-            stop.set(true);
+            stopRequested.set(true);
             connector.join();
         }
     }
@@ -127,9 +127,9 @@
         assertTrue(idleSockets.size() <= 52, "open sockets exceed half the limit less the reserve: "
                 + idleSockets.size());
         sockets.setLimitShared(false);
-        int idleBefore = idleSockets.size();
+        int idleCountBefore = idleSockets.size();
         assertTrue(sockets.addAccepted());
-        assertEquals(idleBefore, idleSockets.size());
+        assertEquals(idleCountBefore, idleSockets.size());
     }
 
     @Test
--- a/src/test/java/larkworks/proxy/SharedExperiment.java
+++ b/src/test/java/larkworks/proxy/SharedExperiment.java
@@ -113,13 +113,13 @@
                         + ",\"window_ms\":" + windowMs + "}},", 600_000_000)) {
             fleet.startBackend("warm", 0);
             fleet.startAll();
-            AtomicBoolean stopped = new AtomicBoolean();
+            AtomicBoolean stopRequested = new AtomicBoolean();
             Map<Integer, Thread> clientThreads = new HashMap<>();
             for (int i = 0; i < 10; i++) {
                 int proxy = i;
                 // Demand differs: the first proxy sends without a pause, the last one sends the least.
                 clientThreads.put(i, new Thread(() -> {
-                    while (!stopped.get()) {
+                    while (!stopRequested.get()) {
                         fleet.sendLook(proxy);
                         sleep(proxy * 5);
                     }
@@ -135,7 +135,7 @@
             sleep(seconds * 300);
             fleet.startProxy(9);
             sleep(seconds * 400);
-            stopped.set(true);
+            stopRequested.set(true);
             List<Long> coldArrivalsMs = fleet.arrivalTimesMs.get("cold").stream().sorted().toList();
             System.out.printf("budget=%d in %d ms: maximum in any window=%d (overshoot %d), mean=%.1f/s "
                     + "over %d s%n",
--- a/src/test/java/larkworks/proxy/StubServer.java
+++ b/src/test/java/larkworks/proxy/StubServer.java
@@ -33,11 +33,11 @@
 
     StubServer() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        acceptThread = spawn(() -> {
+        acceptThread = startThread(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 sockets.add(socket);
-                spawn(() -> serve(socket));
+                startThread(() -> serve(socket));
             }
         });
     }
@@ -99,7 +99,7 @@
         void run() throws IOException;
     }
 
-    private static Thread spawn(SocketTask task) {
+    private static Thread startThread(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -172,7 +172,7 @@
             }
         }
 
-        void reset() throws IOException {
+        void resetConnection() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
--- a/src/test/java/larkworks/proxy/TestBench.java
+++ b/src/test/java/larkworks/proxy/TestBench.java
@@ -201,8 +201,8 @@
     CompletableFuture<Void> beginShutdown() throws Exception {
         Main draining = main;
         CompletableFuture<Void> ended = CompletableFuture.runAsync(draining::drainAndWait);
-        Client probe = client();
-        while (!"close".equals(probe.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer()
+        Client readinessClient = client();
+        while (!"close".equals(readinessClient.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").answer()
                 .header("Connection"))) {
             Thread.onSpinWait();
         }
@@ -265,10 +265,11 @@
     }
 
     /**
-     * Blocks the proxy's event loop until all timers that are due within {@code ms} have expired, and while
-     * the step runs. Those timers run right after the step, before the loop reads what arrived during it.
+     * Blocks the proxy's event loop until all timers that are due within {@code dueWithinMs} have expired,
+     * and while the step runs. Those timers run right after the step, before the loop reads what arrived
+     * during it.
      */
-    void beforeTimersDueWithin(long ms, Step step) throws Exception {
+    void beforeTimersDueWithin(long dueWithinMs, Step step) throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch stepDone = new CountDownLatch(1);
         main.loop().execute(() -> {
@@ -278,7 +279,7 @@
                 awaitLatch(stepDone);
             }, 0, TimeUnit.MILLISECONDS);
             try {
-                Thread.sleep(ms);
+                Thread.sleep(dueWithinMs);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
