--- a/src/test/java/larkworks/proxy/ReadinessTest.java
+++ b/src/test/java/larkworks/proxy/ReadinessTest.java
@@ -72,7 +72,7 @@
             assertTrue(listCall.connectionEnded().getCount() > 0,
                     "the proxy must be ready while it still reads the answer");
             listCall.sendRaw(list.substring(sentBytes[0]));
-            // If the answer had timed out, the proxy would not ask from index 7 on.
+            // Had the answer timed out, the proxy would not ask for changes after index 7.
             assertTrue(bench.discovery.next().line().contains("?index=7&"),
                     "the received list was not applied");
             assertEquals(1, bench.serveOneRequest(), "must be served by the received list");
