--- a/src/test/java/larkworks/proxy/ClientDisconnectTest.java
+++ b/src/test/java/larkworks/proxy/ClientDisconnectTest.java
@@ -247,8 +247,8 @@
         try (TestBench bench = new TestBench(1).start(folder)) {
             for (int sentBytes = 1; sentBytes < request.length(); sentBytes += 7) {
                 TestBench.Client client = bench.client();
-                for (int at = 0; at < sentBytes; at += 7) {
-                    client.send(request.substring(at, Math.min(sentBytes, at + 7)));
+                for (int offset = 0; offset < sentBytes; offset += 7) {
+                    client.send(request.substring(offset, Math.min(sentBytes, offset + 7)));
                 }
                 bench.awaitInputProcessed();
                 disconnect.apply(client);
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -90,11 +90,11 @@
         String readHead() throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
-                int next = in.read();
-                if (next < 0) {
+                int nextByte = in.read();
+                if (nextByte < 0) {
                     throw new IOException("the connection ended within the head: " + head);
                 }
-                head.append((char) next);
+                head.append((char) nextByte);
             }
             return head.toString();
         }
@@ -123,11 +123,11 @@
         private String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             while (line.indexOf("\r\n") < 0) {
-                int next = in.read();
-                if (next < 0) {
+                int nextByte = in.read();
+                if (nextByte < 0) {
                     throw new IOException("the connection ended within a line: " + line);
                 }
-                line.append((char) next);
+                line.append((char) nextByte);
             }
             return line.substring(0, line.length() - 2);
         }
--- a/src/test/java/larkworks/proxy/SharedExperiment.java
+++ b/src/test/java/larkworks/proxy/SharedExperiment.java
@@ -156,11 +156,11 @@
     /** Returns the maximum number of arrivals in any window of the given length. */
     static int maxArrivalsInWindow(List<Long> sortedTimesMs, long windowMs) {
         int max = 0;
-        for (int from = 0, to = 0; to < sortedTimesMs.size(); to++) {
-            while (sortedTimesMs.get(to) - sortedTimesMs.get(from) >= windowMs) {
-                from++;
+        for (int first = 0, last = 0; last < sortedTimesMs.size(); last++) {
+            while (sortedTimesMs.get(last) - sortedTimesMs.get(first) >= windowMs) {
+                first++;
             }
-            max = Math.max(max, to - from + 1);
+            max = Math.max(max, last - first + 1);
         }
         return max;
     }
--- a/src/test/java/larkworks/proxy/StubServer.java
+++ b/src/test/java/larkworks/proxy/StubServer.java
@@ -135,11 +135,11 @@
 
         private static String readLine(InputStream in) throws IOException {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
-            for (int next = in.read(); next != '\n'; next = in.read()) {
-                if (next < 0) {
+            for (int nextByte = in.read(); nextByte != '\n'; nextByte = in.read()) {
+                if (nextByte < 0) {
                     return null;
                 }
-                line.write(next);
+                line.write(nextByte);
             }
             return line.toString(StandardCharsets.ISO_8859_1).strip();
         }
--- a/src/test/java/larkworks/proxy/TestBench.java
+++ b/src/test/java/larkworks/proxy/TestBench.java
@@ -74,8 +74,8 @@
     }
 
     /** Returns a response of discovery: a full list, or the changes since the list before it. */
-    static String listJson(int index, boolean full, String... entries) {
-        return "{\"index\":" + index + ",\"snapshot\":" + full + ",\"endpoints\":["
+    static String listJson(int index, boolean isFull, String... entries) {
+        return "{\"index\":" + index + ",\"snapshot\":" + isFull + ",\"endpoints\":["
                 + String.join(",", entries) + "]}";
     }
 
