--- a/src/test/java/larkworks/proxy/EventRaceTest.java
+++ b/src/test/java/larkworks/proxy/EventRaceTest.java
@@ -156,7 +156,7 @@
     @EnumSource(Disconnect.class)
     void doesNotSendRequestReceivedTogetherWithDisconnect(Disconnect disconnect) throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
-            // Both arrive together, as from the accept queue, where they wait while descriptors are scarce.
+            // Request and disconnect arrive together, as from the accept queue when descriptors are scarce.
             bench.inOneLoopIteration(() -> disconnect.apply(bench.client().sendLook("gone")));
             assertNextRequestIsOfAnotherClient(bench, 0);
         }
