--- a/src/test/java/larkworks/proxy/ClientDisconnectTest.java
+++ b/src/test/java/larkworks/proxy/ClientDisconnectTest.java
@@ -25,7 +25,7 @@
 class ClientDisconnectTest {
 
     private static final String EMPTY_LIST = TestBench.listJson(1, true);
-    /** How long the loop is blocked: longer than a new server's first request may wait (one aim, 2 s). */
+    /** How long the loop is blocked: longer than a request may wait for a new server (one aim, 2 s). */
     private static final int LOOP_BLOCKED_MS = 2_600;
 
     @TempDir
@@ -247,8 +247,8 @@
         try (TestBench bench = new TestBench(1).start(folder)) {
             for (int sentBytes = 1; sentBytes < request.length(); sentBytes += 7) {
                 TestBench.Client client = bench.client();
-                for (int at = 0; at < sentBytes; at += 7) {
-                    client.send(request.substring(at, Math.min(sentBytes, at + 7)));
+                for (int offset = 0; offset < sentBytes; offset += 7) {
+                    client.send(request.substring(offset, Math.min(sentBytes, offset + 7)));
                 }
                 bench.awaitInputProcessed();
                 disconnect.apply(client);
--- a/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
+++ b/src/test/java/larkworks/proxy/DiscoveryDeadlinesTest.java
@@ -24,11 +24,11 @@
 class DiscoveryDeadlinesTest {
 
     /**
-     * A change counts as delivered this long after a reachable discovery had it, or after the watch that
-     * should have reported it stopped receiving.
+     * A change counts as delivered this long after discovery had it while reachable, or after the watch
+     * that should have reported it became silent.
      */
     private static final long DELIVERY_LIMIT_MS = 6_000;
-    /** Maximum measurements; the best one counts, as a busy machine only makes a measured time longer. */
+    /** Maximum number of measurements; the shortest counts, as a busy machine only lengthens them. */
     private static final int MAX_TRIES = 3;
     /** The number of backends in the largest deployment that is tested. */
     private static final int LARGE_LIST_SIZE = 1_100;
@@ -64,7 +64,7 @@
     /** Makes a call fail: resets or closes its connection, or answers it without a list. */
     private static void failCall(StubServer.Message call, String failure) throws Exception {
         switch (failure) {
-            case "reset" -> call.reset();
+            case "reset" -> call.resetConnection();
             case "end" -> call.socket().close();
             case "empty" -> call.reply(200, "");
             default -> call.reply(Integer.parseInt(failure), "");
@@ -289,7 +289,7 @@
             bench.discoveryMode = mode;
             bench.start(folder);
             bench.discovery.next().reply(200, bench.fullList(1));
-            awaitCallAfterList(bench, 1).reset();
+            awaitCallAfterList(bench, 1).resetConnection();
             StubServer.Message reopenedWatch = awaitCallAfterList(bench, 1);
             reopenedWatch.reply(200, TestBench.listJson(2, false, bench.entry(0, "terminating")));
             awaitCallAfterList(bench, 2);
@@ -298,8 +298,8 @@
     }
 
     /**
-     * A new configuration names another discovery service. It never answers the first call there, and a
-     * backend drains right after its next answer.
+     * A reload names another discovery service. This service never answers the proxy's first call, and a
+     * backend drains right after it has answered the second.
      */
     @ParameterizedTest
     @ValueSource(strings = {"pushed", "on_request"})
@@ -313,11 +313,11 @@
             try (Program proxy = new Program("", Map.of("GW_CONFIG", file.toString()), "proxy")) {
                 bench.discovery.next().reply(200, bench.fullList(1));
                 awaitCallAfterList(bench, 1);
-                int[] reloads = {1};
+                int[] reloadCount = {1};
                 int[] listIndex = {1};
                 String[] addresses = {bench.discovery.address(), otherDiscovery.address()};
                 assertBestTryWithin(4_000, () -> {
-                    String newAddress = addresses[reloads[0] % 2];
+                    String newAddress = addresses[reloadCount[0] % 2];
                     StubServer newDiscovery = newAddress.equals(otherDiscovery.address()) ? otherDiscovery
                             : bench.discovery;
                     Files.writeString(file, config.replace(bench.discovery.address(), newAddress));
@@ -335,7 +335,7 @@
                     long tookMs = elapsedMs(reloadNs);
                     Program.await(20, proxy.lines::toString, () -> isReady(bench));
                     assertServedBy(bench, 1);
-                    reloads[0]++;
+                    reloadCount[0]++;
                     return tookMs;
                 });
             }
@@ -347,8 +347,8 @@
     }
 
     /**
-     * The discovery service that a reload names has lower indexes than the proxy's list, or answers 404 to
-     * its index.
+     * A reload names another discovery service, whose indexes are lower than that of the proxy's list, or
+     * which answers 404 to a call with that index.
      */
     @ParameterizedTest
     @CsvSource({"pushed,lower", "pushed,404", "on_request,lower", "on_request,404"})
--- a/src/test/java/larkworks/proxy/LargeBodyTest.java
+++ b/src/test/java/larkworks/proxy/LargeBodyTest.java
@@ -90,11 +90,11 @@
         String readHead() throws IOException {
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
-                int next = in.read();
-                if (next < 0) {
+                int nextByte = in.read();
+                if (nextByte < 0) {
                     throw new IOException("the connection ended within the head: " + head);
                 }
-                head.append((char) next);
+                head.append((char) nextByte);
             }
             return head.toString();
         }
@@ -123,17 +123,17 @@
         private String readLine() throws IOException {
             StringBuilder line = new StringBuilder();
             while (line.indexOf("\r\n") < 0) {
-                int next = in.read();
-                if (next < 0) {
+                int nextByte = in.read();
+                if (nextByte < 0) {
                     throw new IOException("the connection ended within a line: " + line);
                 }
-                line.append((char) next);
+                line.append((char) nextByte);
             }
             return line.substring(0, line.length() - 2);
         }
 
         /** Reads until the other side ends the connection, by FIN or reset; then returns true. */
-        boolean isEndedByPeer() throws IOException {
+        boolean awaitEndByPeer() throws IOException {
             try {
                 while (in.read() >= 0) {
                     // Skip remaining bytes.
@@ -170,11 +170,11 @@
     }
 
     /** Writes the whole body on another thread and counts the bytes written. */
-    private CompletableFuture<Void> writeBody(RawConnection to, AtomicLong writtenBytes) {
+    private CompletableFuture<Void> writeBody(RawConnection target, AtomicLong writtenBytes) {
         return CompletableFuture.runAsync(() -> {
             try {
-                for (int at = 0; at < LARGE_BODY_BYTES; at += 64_000) {
-                    to.send(body, at, at + 64_000);
+                for (int offset = 0; offset < LARGE_BODY_BYTES; offset += 64_000) {
+                    target.send(body, offset, offset + 64_000);
                     writtenBytes.addAndGet(64_000);
                 }
             } catch (IOException e) {
@@ -246,13 +246,13 @@
             servers.add(server.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         }
         System.gc();
-        long usedBefore = io.netty.util.internal.PlatformDependent.usedDirectMemory();
+        long usedBeforeBytes = io.netty.util.internal.PlatformDependent.usedDirectMemory();
         AtomicLong writtenBytes = new AtomicLong();
         for (RawConnection server : servers) {
             CompletableFuture.runAsync(() -> {
                 try {
-                    for (int at = 0; at < LARGE_BODY_BYTES / 4; at += 8000) {
-                        server.send("1f40\r\n").send(body, at, at + 8000).send("\r\n");
+                    for (int offset = 0; offset < LARGE_BODY_BYTES / 4; offset += 8000) {
+                        server.send("1f40\r\n").send(body, offset, offset + 8000).send("\r\n");
                         writtenBytes.addAndGet(8000);
                     }
                     server.send("0\r\n\r\n");
@@ -262,7 +262,7 @@
             });
         }
         awaitStall(writtenBytes);
-        long bufferedBytes = io.netty.util.internal.PlatformDependent.usedDirectMemory() - usedBefore;
+        long bufferedBytes = io.netty.util.internal.PlatformDependent.usedDirectMemory() - usedBeforeBytes;
         assertTrue(bufferedBytes < 12 << 20, "bytes buffered outside the heap: " + bufferedBytes);
         for (RawConnection client : clients) {
             client.readHead();
@@ -333,8 +333,8 @@
     }
 
     /**
-     * The reset fails the body's write before the answer's read. An answer that ends with its connection
-     * must not look complete then.
+     * When the backend resets its connection, the proxy's write of the request body fails before its read
+     * of the answer. An answer that is delimited by the connection's end must not look complete then.
      */
     @ParameterizedTest
     @ValueSource(ints = {1_000, 100_000})
@@ -490,7 +490,7 @@
                 + getRequest("smuggled"));
         String head = client.readHead();
         assertTrue(head.startsWith("HTTP/1.1 400 "), head);
-        assertTrue(client.isEndedByPeer(), "bytes behind the bad head must not be read as a request");
+        assertTrue(client.awaitEndByPeer(), "bytes behind the bad head must not be read as a request");
         backend.setSoTimeout(100);
         assertThrows(java.net.SocketTimeoutException.class, backend::accept);
     }
@@ -500,7 +500,7 @@
     void rejectsMalformedChunks(String chunks) throws Exception {
         RawConnection client = client().send(postRequest("r", "Transfer-Encoding: chunked\r\n") + chunks);
         assertTrue(client.readHead().startsWith("HTTP/1.1 400 "));
-        assertTrue(client.isEndedByPeer());
+        assertTrue(client.awaitEndByPeer());
     }
 
     @Test
@@ -510,13 +510,13 @@
         RawConnection server = acceptBackendConnection();
         server.readHead();
         long startNs = System.nanoTime();
-        assertTrue(client.isEndedByPeer());
+        assertTrue(client.awaitEndByPeer());
         assertTrue(System.nanoTime() - startNs < TimeUnit.SECONDS.toNanos(8),
                 "100 kB extend the body's timeout by two seconds only");
-        assertTrue(server.isEndedByPeer());
+        assertTrue(server.awaitEndByPeer());
     }
 
-    /** The answer is being streamed when the proxy aborts it because the request's body stalls. */
+    /** The proxy aborts an answer that it already streams, because the request's body stalls. */
     @Test
     void abortedAnswerDelimitedByCloseDoesNotLookComplete() throws Exception {
         RawConnection client = client().send(postRequest("r", "Content-Length: 200000\r\n")
@@ -537,7 +537,7 @@
         RawConnection server = acceptBackendConnection();
         server.readHead();
         sender.socket.close();
-        assertTrue(server.isEndedByPeer());
+        assertTrue(server.awaitEndByPeer());
 
         RawConnection reader = client().send(getRequest("s"));
         RawConnection secondServer = acceptBackendConnection();
@@ -546,6 +546,6 @@
                 100_000);
         reader.readHead();
         reader.socket.close();
-        assertTrue(secondServer.isEndedByPeer());
+        assertTrue(secondServer.awaitEndByPeer());
     }
 }
--- a/src/test/java/larkworks/proxy/OutageTest.java
+++ b/src/test/java/larkworks/proxy/OutageTest.java
@@ -38,7 +38,10 @@
         register(0);
     }
 
-    /** Starts the proxy while the registry is unreachable; it serves by the known list, then the new one. */
+    /**
+     * Starts the proxy while the registry is unreachable. Checks that it serves by the list in its
+     * configuration and, once the registry is reachable, by the registry's list.
+     */
     private void startProxy(String discoveryJson) throws Exception {
         // The list in the configuration contains the second backend only.
         String knownList = TestBench.listJson(9, true, bench.entry(1, "in_service"));
@@ -95,9 +98,10 @@
         startProxy("[\"127.0.0.1:1\",\"" + relay.address() + "\"]");  // nothing listens at the first address
         relay.setRefusing(true);
         registry.kill();
-        int refusedBefore = relay.refusedConnections.get();
+        int refusedCountBefore = relay.refusedConnections.get();
         // The outage lasts for several attempts, until well after the pause between them is at its maximum.
-        Program.await(30, proxy.lines::toString, () -> relay.refusedConnections.get() >= refusedBefore + 7);
+        Program.await(30, proxy.lines::toString,
+                () -> relay.refusedConnections.get() >= refusedCountBefore + 7);
         assertEquals(0, bench.serveOneRequest());
         startRegistry("data");
         relay.setTarget(registryAddress());
@@ -122,7 +126,7 @@
         startProxy('"' + relay.address() + '"');
         relay.setRefusing(true);
         registry.kill();
-        startRegistry("other");  // the data is lost: its index exceeds the old one, b0 was never in it
+        startRegistry("other");  // an empty folder: b0 is not in its list, whose index is higher
         registryClient.register("x", "127.0.0.1:2", "");
         registryClient.status("x", "terminated");
         register(1);
--- a/src/test/java/larkworks/proxy/ProxyTest.java
+++ b/src/test/java/larkworks/proxy/ProxyTest.java
@@ -143,7 +143,7 @@
             TestBench.Client client = bench.client().sendPost("act", "r", "x");
             StubServer.Message request = nextRequest(bench);
             switch (failure) {
-                case "reset" -> request.reset();
+                case "reset" -> request.resetConnection();
                 case "end" -> request.socket().close();
                 case "cut" -> {
                     request.sendRaw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
@@ -177,8 +177,8 @@
     }
 
     /**
-     * Guards against a client that copies another request's id: its rejected request was repeated, its
-     * backends were ejected, and valid requests were then refused.
+     * A client may copy another request's id, so that backends answer 400. Guards against a proxy that
+     * repeats such a request, ejects the backends and then refuses valid requests.
      */
     @Test
     void failsRequestOnBackendStatus400WithoutEjectingBackends() throws Exception {
@@ -212,13 +212,13 @@
     void retriesSafeRequestAtOtherBackendAfterReset() throws Exception {
         try (TestBench bench = new TestBench(2).start(folder)) {
             TestBench.Client client = bench.client().sendLook("r");
-            nextRequest(bench).reset();
+            nextRequest(bench).resetConnection();
             nextRequest(bench).reply(200, "second");
             assertEquals("second", client.answer().text());
         }
     }
 
-    /** At the deadline the client gets one failure; the backend's late answer is dropped. */
+    /** At the deadline the client gets one failure; an answer of the backend after that is dropped. */
     @Test
     void failsRequestOnceShortlyBeforeItsDeadline() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
@@ -299,8 +299,8 @@
     }
 
     /**
-     * A drain during an outage of pushed discovery is notified late. Its grace period counts from the last
-     * time at which the list was up to date, not from when the proxy receives the new list.
+     * The proxy learns of a drain during an outage of pushed discovery only after the outage. The drain's
+     * grace period counts from the last time at which the list was up to date, not from its arrival.
      */
     @Test
     void sendsNothingToBackendWhoseDrainWasMissedForItsGracePeriod() throws Exception {
@@ -344,7 +344,8 @@
                 call = bench.discovery.next();
                 pausesMs.add((System.nanoTime() - failedAtNs) / 1_000_000);
             }
-            // The pauses stop growing by the sixth; the median tolerates two of five that the machine delays.
+            // From the sixth on, pauses no longer grow. The median of five tolerates two long delays by
+            // the machine.
             long medianMs = pausesMs.subList(6, 11).stream().sorted().toList().get(2);
             assertTrue(medianMs < 500, "pauses between calls to discovery in ms: " + pausesMs);
         }
@@ -367,7 +368,7 @@
             assertEquals(200, readinessStatus(bench.client()));
 
             watch.reply(503, "");
-            bench.discovery.next().reset();
+            bench.discovery.next().resetConnection();
             StubServer.Message retry = bench.discovery.next();
             assertTrue(retry.line().contains("index=7"), retry.line());
             assertServedBy(bench, 0);
@@ -447,7 +448,7 @@
         }
     }
 
-    /** Changes that a silent watch misses count as delivered after 6 s; a new watch must be open by then. */
+    /** Changes that a silent watch misses count as delivered after 6 s; the proxy must reopen it before. */
     @Test
     void watchWaitStaysBelowNotificationLimit() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
@@ -460,7 +461,10 @@
         }
     }
 
-    /** The pause that follows a failure must not apply: changes missed in it would count as delivered. */
+    /**
+     * A silent watch is reopened without the pause that follows a failure: changes missed in that pause
+     * would count as delivered.
+     */
     @Test
     void reopensSilentWatchAtOnceInOnRequestMode() throws Exception {
         try (TestBench bench = new TestBench(1)) {
@@ -477,8 +481,8 @@
     }
 
     /**
-     * If the next call came sooner after a failure, it would count as the continuation of the failed watch,
-     * and changes missed in between would count as delivered.
+     * A call too soon after a failure would count as the continuation of the failed watch, and changes
+     * missed in between would count as delivered.
      */
     @Test
     void doesNotRetryWhileFailedWatchCountsAsOpen() throws Exception {
@@ -522,7 +526,7 @@
     @Test
     void rejectsInvalidRequestsWithoutForwardingThem() throws Exception {
         String validHeaders = "Host: x\r\nX-Call-Id: 1\r\n";
-        List<List<String>> statusAndRequest = List.of(
+        List<List<String>> expectedStatusAndRequest = List.of(
                 List.of("400", "GET /look HTTP/1.1\r\nX-Call-Class: look\r\n\r\n"),
                 List.of("400", "GET /nosuch HTTP/1.1\r\n" + validHeaders + "X-Call-Class: nosuch\r\n\r\n"),
                 List.of("400", "GET * HTTP/1.1\r\n" + validHeaders + "\r\n"),
@@ -540,24 +544,24 @@
                         + "X-Call-Class: act\r\nContent-Length: 33554433\r\n\r\n"),
                 List.of("400", "nonsense\r\n\r\n"));
         try (TestBench bench = new TestBench(1).start(folder)) {
-            for (List<String> request : statusAndRequest) {
-                TestBench.Client client = bench.client().send(request.get(1));
-                assertEquals(request.get(0), String.valueOf(client.status()), request.get(1));
+            for (List<String> pair : expectedStatusAndRequest) {
+                TestBench.Client client = bench.client().send(pair.get(1));
+                assertEquals(pair.get(0), String.valueOf(client.status()), pair.get(1));
             }
             assertEquals(0, bench.backends.get(0).connections());
             assertServedBy(bench, 0);
         }
     }
 
-    /** Guards against idle connections that keep the descriptors which requests need. */
+    /** Guards against connections without a valid request that use up the descriptors for requests. */
     @Test
     void closesUnprovenConnections() throws Exception {
         try (TestBench bench = new TestBench(1).start(folder)) {
             bench.discovery.next().reply(200, bench.fullList(1));
             bench.discovery.next();
-            TestBench.Client proven = bench.client().sendLook("r");
+            TestBench.Client provenClient = bench.client().sendLook("r");
             bench.backends.get(0).next().reply(200, "");
-            assertEquals(200, proven.status());
+            assertEquals(200, provenClient.status());
             TestBench.Client silentClient = bench.client();
             TestBench.Client readinessOnlyClient = bench.client();
             assertEquals(200, readinessStatus(readinessOnlyClient));
@@ -570,7 +574,7 @@
                     : List.of(silentClient, readinessOnlyClient, partialHeadClient, partialBodyClient)) {
                 assertNull(client.answer());
             }
-            assertEquals(200, readinessStatus(proven),
+            assertEquals(200, readinessStatus(provenClient),
                     "a client that has sent a valid request may pause for longer");
             assertEquals(0, bench.backends.get(0).pendingMessages());
         }
@@ -628,7 +632,7 @@
         return client.send("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
 
-    /** Sends a request that the given backend must receive, and has it served. */
+    /** Sends a request that the given backend must receive, and answers it from that backend. */
     private static void assertServedBy(TestBench bench, int backend) throws Exception {
         TestBench.Client client = bench.client().sendLook("s");
         StubServer.Message request = bench.backends.get(backend).next();
--- a/src/test/java/larkworks/proxy/SharedExperiment.java
+++ b/src/test/java/larkworks/proxy/SharedExperiment.java
@@ -113,13 +113,13 @@
                         + ",\"window_ms\":" + windowMs + "}},", 600_000_000)) {
             fleet.startBackend("warm", 0);
             fleet.startAll();
-            AtomicBoolean stopped = new AtomicBoolean();
+            AtomicBoolean stopRequested = new AtomicBoolean();
             Map<Integer, Thread> clientThreads = new HashMap<>();
             for (int i = 0; i < 10; i++) {
                 int proxy = i;
                 // Demand differs: the first proxy sends without a pause, the last one sends the least.
                 clientThreads.put(i, new Thread(() -> {
-                    while (!stopped.get()) {
+                    while (!stopRequested.get()) {
                         fleet.sendLook(proxy);
                         sleep(proxy * 5);
                     }
@@ -135,7 +135,7 @@
             sleep(seconds * 300);
             fleet.startProxy(9);
             sleep(seconds * 400);
-            stopped.set(true);
+            stopRequested.set(true);
             List<Long> coldArrivalsMs = fleet.arrivalTimesMs.get("cold").stream().sorted().toList();
             System.out.printf("budget=%d in %d ms: maximum in any window=%d (overshoot %d), mean=%.1f/s "
                     + "over %d s%n",
@@ -156,11 +156,11 @@
     /** Returns the maximum number of arrivals in any window of the given length. */
     static int maxArrivalsInWindow(List<Long> sortedTimesMs, long windowMs) {
         int max = 0;
-        for (int from = 0, to = 0; to < sortedTimesMs.size(); to++) {
-            while (sortedTimesMs.get(to) - sortedTimesMs.get(from) >= windowMs) {
-                from++;
+        for (int first = 0, last = 0; last < sortedTimesMs.size(); last++) {
+            while (sortedTimesMs.get(last) - sortedTimesMs.get(first) >= windowMs) {
+                first++;
             }
-            max = Math.max(max, to - from + 1);
+            max = Math.max(max, last - first + 1);
         }
         return max;
     }
--- a/src/test/java/larkworks/proxy/StubServer.java
+++ b/src/test/java/larkworks/proxy/StubServer.java
@@ -33,11 +33,11 @@
 
     StubServer() throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        acceptThread = spawn(() -> {
+        acceptThread = startThread(() -> {
             while (true) {
                 Socket socket = listener.accept();
                 sockets.add(socket);
-                spawn(() -> serve(socket));
+                startThread(() -> serve(socket));
             }
         });
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Waits for the accepting thread too: until its accept call returns, the port takes connections. */
+    /** Also waits for the accept thread to end: until its accept call returns, the port takes connections. */
     @Override
     public void close() throws IOException {
         listener.close();
@@ -99,7 +99,7 @@
         void run() throws IOException;
     }
 
-    private static Thread spawn(SocketTask task) {
+    private static Thread startThread(SocketTask task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -135,11 +135,11 @@
 
         private static String readLine(InputStream in) throws IOException {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
-            for (int next = in.read(); next != '\n'; next = in.read()) {
-                if (next < 0) {
+            for (int nextByte = in.read(); nextByte != '\n'; nextByte = in.read()) {
+                if (nextByte < 0) {
                     return null;
                 }
-                line.write(next);
+                line.write(nextByte);
             }
             return line.toString(StandardCharsets.ISO_8859_1).strip();
         }
@@ -172,7 +172,7 @@
             }
         }
 
-        void reset() throws IOException {
+        void resetConnection() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
