--- a/src/test/c/syscall_faults.c
+++ b/src/test/c/syscall_faults.c
@@ -204,7 +204,7 @@
     return NO_FAULT;
 }
 
-/* Like next_fault(), for calls on files below FAULT_FOLDER: also appends a byte to the count file. */
+/* Like next_fault(), but for calls on files below FAULT_FOLDER; also appends a byte to the count file. */
 static int next_file_fault(enum call_kind kind) {
     if (count_fd >= 0) {
         REAL_FUNCTION(write)(count_fd, &(char) {'a' + (char) kind}, 1);
@@ -245,7 +245,7 @@
 
 /* ---- Calls on sockets */
 
-/* Records whether this process has connected the socket, and returns the descriptor. */
+/* Records whether this process has connected the socket; returns the socket's descriptor. */
 static int mark_outbound(int fd, char outbound) {
     if (fd >= 0 && fd < MAX_TRACKED_FDS) {
         atomic_store(&outbound_sockets[fd], outbound);
@@ -274,7 +274,7 @@
             : NO_FAULT;
     mark_outbound(fd, 1);
     if (error == EINTR) {
-        /* The kernel goes on establishing the connection after an interrupted connect. */
+        /* After an interrupted connect, the kernel continues to establish the connection. */
         int result = REAL_FUNCTION(connect)(fd, address, length);
         return result && errno != EINPROGRESS ? result : fail_with(EINTR);
     }
@@ -380,7 +380,7 @@
 
 /* ---- Calls on the wall clock */
 
-/* Adds the milliseconds of all clock rules that apply now. */
+/* Adds the offsets of all clock rules that apply at present to a time. */
 static void add_clock_offset(struct timespec *time) {
     long offset_ms = 0;
     for (int i = 0; i < rule_count; i++) {
--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -38,7 +38,7 @@
     private static final long COLD_PERIOD_US = 20 * US_PER_S;
     /** Share of its capacity that a server has at its start. */
     private static final double COLD_START_SHARE = 0.15;
-    /** The budget of a cold server is this multiple of the work that it can do. */
+    /** Budget of a cold server in a window, as a multiple of the work that it can do in the window. */
     private static final double BUDGET_MULTIPLE = 3;
     /** Length of the sliding window over which the work sent to a cold server is summed. */
     private static final long WINDOW_US = 1_500 * US_PER_MS;
@@ -49,13 +49,13 @@
     private static final long DEADLINE_US = 1_500 * US_PER_MS;
     /** Maximum delay until a copy receives a change of the list. */
     private static final long MAX_LIST_DELAY_US = US_PER_S;
-    /** Time before the burst at which the servers that return cold are stopped. */
+    /** How long before the burst the servers that restart cold are stopped. */
     private static final long DOWNTIME_US = 5 * US_PER_S;
     /** One-way network delay. */
     private static final long NETWORK_DELAY_US = US_PER_MS / 2;
     /** Maximum number of requests queued at a server, not counting the one being processed. */
     private static final int MAX_QUEUED_REQUESTS = 8;
-    /** Low enough that copies probe servers before a call, where probes are allowed. */
+    /** Price of a probe: low enough that copies probe servers before a call if the scenario allows probes. */
     private static final double PROBE_PRICE = 0.002;
 
     /**
@@ -202,7 +202,7 @@
         publishChange(worker.listEntry(ServerStatus.UP));
     }
 
-    /** Delivers a change of the list to each copy after a random delay of its own. */
+    /** Delivers a change of the list to every copy, to each one after a different random delay. */
     private void publishChange(Server change) {
         for (Copy copy : copies) {
             scheduleAt(nowUs + random.nextLong(MAX_LIST_DELAY_US), () -> {
@@ -214,14 +214,14 @@
         }
     }
 
-    /** Returns the share of its full capacity that a server has at a time; 0 as start means a warm server. */
+    /** Returns a server's present capacity as a share of its full one; start time 0 means a warm server. */
     private static double capacityShare(long startedAtUs, long nowUs) {
         return startedAtUs == 0 ? 1
                 : Math.min(1, COLD_START_SHARE
                 + (1 - COLD_START_SHARE) * (nowUs - startedAtUs) / COLD_PERIOD_US);
     }
 
-    /** Returns the budget plus two standard deviations of a Poisson variable with that mean, plus 2. */
+    /** Returns the budget plus 2 plus two standard deviations of a Poisson variable with this mean. */
     private static double allowedForBudget(double budget) {
         return budget + 2 * Math.sqrt(budget) + 2;
     }
@@ -280,7 +280,7 @@
             dropped.forEach(attempt -> attempt.end(Outcome.RESET));
         }
 
-        /** Checks every window that ends at an attempt against the work allowed at the window's start. */
+        /** Returns the load of this server; examines each window that ends when an attempt is sent. */
         ColdServerLoad coldServerLoad() {
             double sentInWindow = 0;
             double maxSentInWindow = 0;
@@ -358,7 +358,7 @@
         final Map<String, Double> workByRequest = new HashMap<>();
         final Map<String, List<Attempt>> attemptsByRequest = new HashMap<>();
         final Set<String> endedRequests = new HashSet<>();
-        /** Servers whose start this copy has received in the list. */
+        /** Ids of the servers whose start time this copy has received in the list. */
         final Set<String> serversWithKnownStart = new HashSet<>();
 
         Copy(int copyNumber, double trafficShare) {
@@ -381,7 +381,7 @@
 
         void arrive() {
             String id = "r" + requestCount++;
-            // Half constant and half exponentially distributed, which spreads like real work.
+            // Half of the work is constant, half exponentially distributed, to vary like real work.
             workByRequest.put(id, 0.5 - 0.5 * Math.log(1 - random.nextDouble()));
             scheduleAt(nextArrivalUs(), this::arrive);
             logic.request(nowUs, new Request(id, 0, 0, DEADLINE_US, 0, false));
--- a/src/test/java/larkworks/ColdServerFleetTest.java
+++ b/src/test/java/larkworks/ColdServerFleetTest.java
@@ -23,7 +23,7 @@
     private static final int SEEDS = 6;
     /** Traffic before the burst, as a share of the capacity of all servers. */
     private static final double LOAD_BEFORE_BURST = 0.7;
-    /** A cold server must get this share of the work that it can do in the first half of its cold period. */
+    /** Minimum share of the work possible in the first half of its cold period that a cold server gets. */
     private static final double MIN_USED_SHARE = 0.2;
 
     static Stream<Arguments> scenarios() {
@@ -41,7 +41,7 @@
                 }
             }
         }
-        // So many copies that each sends a cold server less than one call per window on average.
+        // With this many copies, each one sends a cold server less than one call per window on average.
         for (int copies : new int[] {60, 100, 200}) {
             for (double capacityPerSecond : new double[] {20, 60}) {
                 for (double burstFactor : new double[] {1.5, 2.2}) {
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -110,7 +110,7 @@
 
         @Test
         void serverThatReportsMoreInFlightCallsGetsFewerCalls() {
-            // Given equal numbers of calls, machines slower than registered were overloaded one by one.
+            // When all servers got equal numbers of calls, those slower than registered became overloaded.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             Map<String, Integer> callsByServer = new HashMap<>();
             for (int i = 0; i < 120; i++) {
@@ -304,14 +304,14 @@
 
         @Test
         void equalErrorRatesOfAllServersEjectNone() {
-            // A failing tier below causes errors at every server; ejecting servers would only cost capacity.
+            // If the next tier fails, every server returns errors; ejecting servers would only cost capacity.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 String request = proxy.sendRequest(SimulatedProxy.UNSAFE_CLASS);
                 assertNotNull(proxy.latestServer(request));
                 proxy.advanceMs(20);
                 proxy.endAttempt(request, Outcome.ERROR);
-                // Enough calls succeed for the congestion control not to reject calls.
+                // With three successful calls per error, the congestion control rejects no calls.
                 proxy.serveRequest();
                 proxy.serveRequest();
                 proxy.serveRequest();
@@ -320,7 +320,7 @@
 
         @Test
         void ejectsAServerThatDoesNotAnswerCalls() {
-            // A hung server accepts connections and answers probes; only calls past their deadline reveal it.
+            // A hung server accepts connections and answers probes; only calls that time out show the hang.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 8; i++) {
                 proxy.serveRequest();
@@ -579,7 +579,7 @@
         }
     }
 
-    /** Rule 4: the calls that all copies together send to a cold server stay below its share. */
+    /** Rule 4: the calls that all copies together send to a cold server stay below that server's share. */
     @Nested
     class ColdServers {
 
@@ -624,8 +624,8 @@
 
         @Test
         void delayBeforeAColdServersNextCallFollowsItsPresentCapacity() {
-            // A delay computed once at the server's start kept copies with few calls from using it for
-            // minutes, long after it was warm.
+            // With a delay computed once, at the server's start, copies with few calls did not use the server
+            // for minutes, although it had become warm.
             for (int seed = 0; seed < 20; seed++) {
                 SimulatedProxy proxy = new SimulatedProxy(testSettings(), seed).withServers("a", "b", "c",
                         "d", "e", "f", "g", "h", "i", "j");
@@ -688,8 +688,9 @@
 
         @Test
         void serverThatIsNeverIdleIsNotProbedForEachCall() {
-            // Hung servers keep their backlog and were never assigned a call, so each call probed them first.
-            // The load that they reported was assumed for all other servers, until nothing was sent any more.
+            // Hung servers are never idle, so no call was assigned to them. As the least recently assigned
+            // servers, they were probed first for each call. The load that they reported was assumed for all
+            // other servers, until no call was sent any more.
             SimulatedProxy proxy =
                     new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d", "e", "f", "g", "h");
             for (int i = 0; i < 60; i++) {
@@ -728,7 +729,7 @@
             assertEquals(probedServer, proxy.latestServer(request));
         }
 
-        /** Returns a copy that has had 12 calls served, all of whose probes reported a load of 0. */
+        /** Returns a copy after 12 successful calls, for which every probe reported a load of 0. */
         private SimulatedProxy proxyAfterServedCalls(String... servers) {
             SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers(servers);
             for (int i = 0; i < 12; i++) {
@@ -749,7 +750,7 @@
 
         @Test
         void resumesProbingOnceSlowProbesAreFastAgain() {
-            // A stall of the proxy in its first seconds made probes look slow, and it never probed again.
+            // The proxy stalled in its first seconds, so probes looked slow and the proxy never probed again.
             SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
             for (String server : List.of("a", "b", "c", "d")) {
                 proxy.logic.probeResult(proxy.nowUs, server, Outcome.OK, 200 * US_PER_MS,
@@ -786,8 +787,8 @@
 
         @Test
         void serverWithAnUnansweredProbeDoesNotGetTheCall() {
-            // The least recently assigned server is probed first. When it did not answer, the call went to it
-            // all the same, as it was still the least recently assigned one.
+            // The least recently assigned server is probed first. If this server did not answer the probe, it
+            // still got the call, because it was still the least recently assigned server.
             SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c", "d");
             int nextActionIndex = proxy.recordedActions.size();
             String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
@@ -836,8 +837,9 @@
 
         @Test
         void prefersABusyServerToOneWithUnansweredProbes() {
-            // A partition of the zone makes more than half of the servers unreachable, too many to eject them
-            // all. Those not ejected got every call that was made while the reachable servers were busy.
+            // A partition of the zone makes more than half of the servers unreachable, too many to eject
+            // all of them. The unreachable servers that were not ejected got every call that arrived while
+            // the reachable servers were busy.
             SimulatedProxy proxy = proxyAfterServedCalls("a", "b", "c");
             for (String unreachableServer : List.of("a", "b", "a", "b")) {
                 proxy.logic.probeResult(proxy.nowUs, unreachableServer, Outcome.TIMEOUT, 50 * US_PER_MS,
@@ -856,7 +858,7 @@
 
         @Test
         void waitingCallsKeepTheirOrderAndLikelyLateOnesAreNotSent() {
-            // Under overload each queued call was sent just before its deadline; most answers came too late.
+            // Under overload each queued call was sent just before its deadline, and most answers missed it.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a");
             for (int i = 0; i < 12; i++) {
                 proxy.serveRequest();
@@ -905,7 +907,7 @@
 
         @Test
         void sendsNoCallsThatCannotBeAnsweredBeforeTheirAim() {
-            // The calls that each copy queued kept the whole tier busy with answers later than the aim.
+            // The queued calls of all copies kept the tier busy with calls whose answers missed the aim.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             for (int i = 0; i < 10; i++) {
                 proxy.serveRequest();
@@ -922,8 +924,8 @@
 
         @Test
         void withProbesCallsBeyondTheQuotaStillGoToIdleServers() {
-            // A copy that gets a tenant's calls unevenly, about one per second, refused calls within the
-            // quota.
+            // A copy that received about one call of a tenant per second, at uneven intervals, refused calls
+            // although the tenant was within its quota.
             SimulatedProxy.TestSettings settings = probingSettings();
             settings.tenantQuotaPerSecond = 3;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c");
@@ -940,7 +942,7 @@
 
         @Test
         void callsRejectedForCongestionDoNotUseUpTheQuota() {
-            // Retries of clients during congestion used up their tenant's quota and delayed the recovery.
+            // During congestion, client retries used up the quota of the tenant and delayed the recovery.
             SimulatedProxy.TestSettings settings = testSettings();
             settings.tenantQuotaPerSecond = 3;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b", "c", "d");
@@ -972,7 +974,7 @@
 
         @Test
         void requestsBeyondTheirTenantsQuotaAreRefused() {
-            // Requests beyond the quota have little worth, and they displaced requests within the quota.
+            // Requests beyond the quota have little worth, but they displaced requests within the quota.
             SimulatedProxy.TestSettings settings = testSettings();
             settings.tenantQuotaPerSecond = 30;
             SimulatedProxy proxy = new SimulatedProxy(settings).withServers("a", "b");
@@ -997,7 +999,7 @@
 
         @Test
         void congestionLimitsCallsUntilCallsAreServedAgain() {
-            // Servers worked on calls whose callers had gone, and each further call kept the congestion up.
+            // Servers worked on calls whose clients had disconnected; each new call prolonged the congestion.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
@@ -1023,7 +1025,7 @@
 
         @Test
         void clientsThatDisconnectEarlyDoNotCountAsCongestion() {
-            // Clients that disconnect early were counted as calls that the servers had served too slowly.
+            // Calls whose clients disconnected early were counted as calls that servers served too slowly.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             for (int i = 0; i < 100; i++) {
                 String abandonedRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
@@ -1053,8 +1055,8 @@
 
         @Test
         void failureCountDecaysWhileNoCallIsSent() {
-            // The failure count decayed only when a call was sent, so a copy with few calls refused them for
-            // seconds.
+            // The failure count decayed only when a call was sent, so a copy with few calls refused calls
+            // for seconds.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b", "c", "d");
             List<String> failedRequests = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
@@ -1076,7 +1078,7 @@
 
         @Test
         void longCallsDoNotRaiseTheEstimatedSlownessOfTheirServer() {
-            // Slow servers got only long calls, so they were estimated as slower still and were half idle.
+            // Slow servers got only long calls, so their estimates rose further and they were half idle.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             String blockingRequest = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             String idleServer = proxy.latestServer(blockingRequest).equals("a") ? "b" : "a";
@@ -1112,8 +1114,8 @@
 
         @Test
         void clientRetryWhoseAimHasPassedSinceTheFirstTryIsNotSent() {
-            // The last try of a client carries its remaining time, which shows when the first try arrived.
-            // Under overload, calls whose aim had passed since the first try were sent all the same.
+            // A client's last try carries the time left, which shows when the client's first try arrived.
+            // Under overload, calls were sent even if the aim, counted from the first try, had passed.
             SimulatedProxy proxy = new SimulatedProxy(testSettings()).withServers("a", "b");
             for (int i = 0; i < 12; i++) {
                 proxy.serveRequest();
@@ -1212,7 +1214,8 @@
             busyProxy.logic.maintenanceChanged(busyProxy.nowUs, "a", true);
             busyProxy.advanceMs(1_000);
             busyProxy.logic.maintenanceChanged(busyProxy.nowUs, "a", false);
-            // The server restarted during the maintenance, but the list reports it only after its end.
+            // The server restarted during the maintenance, but the list reports the restart only
+            // after the maintenance.
             busyProxy.updateServer("a", busyProxy.nowUs - 500 * US_PER_MS, ServerStatus.UP);
             int callsToServer = 0;
             for (int i = 0; i < 40; i++) {
--- a/src/test/java/larkworks/ModuleShapeTest.java
+++ b/src/test/java/larkworks/ModuleShapeTest.java
@@ -17,12 +17,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The deploy file lists all source files of the decision module; they are short and use no I/O and no clock.
+ * Checks that the deploy file lists all source files of the decision module, and that these files stay below
+ * a maximum length and use no I/O and no clock.
  */
 class ModuleShapeTest {
 
     private static final Path MODULE_DIRECTORY = Path.of("src/main/java/larkworks");
-    /** Types and checks that the callers of the decision module share with it; they make no decisions. */
+    /** Files with types and checks that the decision module shares with its callers; they decide nothing. */
     private static final Set<String> SHARED_FILES = Set.of("Balancer.java", "SettingsCheck.java",
             "package-info.java");
     private static final int MAX_NON_BLANK_LINES = 1_200;
--- a/src/test/java/larkworks/Program.java
+++ b/src/test/java/larkworks/Program.java
@@ -24,7 +24,8 @@
     /**
      * Starts {@code larkworks ARGS}.
      *
-     * @param shellCommand a shell command to run before it, such as {@code ulimit -f 8}; "" for none
+     * @param shellCommand a shell command to run before {@code larkworks}, such as {@code ulimit -f 8}; ""
+     *         for none
      * @param environment variables that are added to those of the tests
      */
     public Program(String shellCommand, Map<String, String> environment, String... args) throws IOException {
--- a/src/test/java/larkworks/RulesTest.java
+++ b/src/test/java/larkworks/RulesTest.java
@@ -59,7 +59,7 @@
         boolean mayHaveRun = true;
     }
 
-    /** A request and what has become of it so far. */
+    /** A request, its attempts and whether it has been answered. */
     private static final class RequestState {
         Request request;
         RequestClass requestClass;
--- a/src/test/java/larkworks/SharedEventsTest.java
+++ b/src/test/java/larkworks/SharedEventsTest.java
@@ -10,7 +10,7 @@
 import larkworks.Balancer.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** How the decision module applies verdicts, budgets and affinities of the fleet, and what it publishes. */
+/** Tests how the decision module applies shared verdicts, budgets and affinities, and what it publishes. */
 class SharedEventsTest {
 
     private static final long US_PER_MS = SimulatedProxy.US_PER_MS;
--- a/src/test/java/larkworks/SocketOwner.java
+++ b/src/test/java/larkworks/SocketOwner.java
@@ -19,7 +19,8 @@
     private SocketOwner() { }
 
     /**
-     * Returns whether a process owns the remote end of a socket; false if the process or that end is gone.
+     * Returns whether a process owns the remote end of a socket; false if the process has ended or the remote
+     * end is closed.
      */
     public static boolean ownsRemoteEnd(Process process, Socket socket) {
         try {
--- a/src/test/java/larkworks/TcpRelay.java
+++ b/src/test/java/larkworks/TcpRelay.java
@@ -23,7 +23,7 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     /** Sockets that stay open but whose bytes are discarded. */
     private final Set<Socket> blackholed = ConcurrentHashMap.newKeySet();
-    /** The client sockets. */
+    /** Sockets of the connections that clients have opened to the relay. */
     private final Set<Socket> clientSockets = ConcurrentHashMap.newKeySet();
     private volatile Predicate<Socket> isPartitioned = clientSocket -> false;
     private volatile InetSocketAddress target;
@@ -46,7 +46,7 @@
         target = newTarget;
     }
 
-    /** Closes all connections and refuses new ones; {@code false} accepts new connections again. */
+    /** If true, closes all connections and refuses new ones; if false, accepts new connections again. */
     public void setRefusing(boolean refuse) throws IOException {
         refusing = refuse;
         if (refuse) {
@@ -56,15 +56,15 @@
         }
     }
 
-    /** Keeps the present connections open but discards their bytes; new connections are forwarded. */
+    /** Keeps all open connections but discards their bytes; forwards new connections as usual. */
     public void blackholeOpenConnections() {
         blackholed.addAll(sockets);
     }
 
     /**
-     * Simulates a network partition: present and new connections of the selected clients stay open, but their
-     * bytes are discarded. Connections that were partitioned before and are not selected now are closed, as
-     * they would be some time after the network has recovered.
+     * Simulates a network partition: open and new connections of the selected clients stay open, but their
+     * bytes are discarded. Connections that an earlier call partitioned and this call does not select are
+     * closed, because real connections would fail some time after the network recovers.
      *
      * @param selected whether the client at the other end of a client socket is partitioned
      */
