--- a/src/test/c/syscall_faults.c
+++ b/src/test/c/syscall_faults.c
@@ -55,7 +55,7 @@
 struct rule {
     enum call_kind kind;
     int action;
-    long clock_ms;
+    long clock_offset_ms;
     int percent;
     long nth;
     long from_ms;
@@ -75,7 +75,7 @@
 static struct rule rules[MAX_RULES];
 static int rule_count;
 static const char *fault_folder;
-static int count_fd = -1;
+static int count_file_fd = -1;
 static struct timespec load_time;
 static atomic_ulong random_state;
 static atomic_long call_counts[CALL_KIND_COUNT];
@@ -95,7 +95,7 @@
     return call(id, to);
 }
 
-static long since_load_ms(void) {
+static long ms_since_load(void) {
     struct timespec now;
     real_clock_gettime(CLOCK_MONOTONIC, &now);
     return (now.tv_sec - load_time.tv_sec) * 1000 + (now.tv_nsec - load_time.tv_nsec) / 1000000;
@@ -139,14 +139,14 @@
         abort_on_malformed_rule(rule_text);
     }
     if (rule->kind == CLOCK) {
-        rule->clock_ms = atol(action);
+        rule->clock_offset_ms = atol(action);
     } else {
         rule->action = parse_action(action, rule_text);
     }
-    for (const char *rest = rule_text + parsed_length; *rest; rest += parsed_length) {
-        if (sscanf(rest, "@%d%n", &rule->percent, &parsed_length) != 1
-                && sscanf(rest, "#%ld%n", &rule->nth, &parsed_length) != 1
-                && sscanf(rest, ",%ld-%ld%n", &rule->from_ms, &rule->to_ms, &parsed_length) != 2) {
+    for (const char *options = rule_text + parsed_length; *options; options += parsed_length) {
+        if (sscanf(options, "@%d%n", &rule->percent, &parsed_length) != 1
+                && sscanf(options, "#%ld%n", &rule->nth, &parsed_length) != 1
+                && sscanf(options, ",%ld-%ld%n", &rule->from_ms, &rule->to_ms, &parsed_length) != 2) {
             abort_on_malformed_rule(rule_text);
         }
     }
@@ -159,15 +159,15 @@
     atomic_store(&random_state, seed_text ? strtoul(seed_text, 0, 10) : 1);
     const char *count_path = getenv("FAULT_COUNT");
     if (count_path) {
-        count_fd = REAL_FUNCTION(open)(count_path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
+        count_file_fd = REAL_FUNCTION(open)(count_path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     }
     const char *rule_list = getenv("FAULTS");
     if (!rule_list) {
         return;
     }
     char *copy = strdup(rule_list);
-    char *rest = copy;
-    for (char *rule_text = strsep(&rest, ";"); rule_text; rule_text = strsep(&rest, ";")) {
+    char *remaining = copy;
+    for (char *rule_text = strsep(&remaining, ";"); rule_text; rule_text = strsep(&remaining, ";")) {
         if (*rule_text) {
             parse_rule(rule_text);
         }
@@ -191,8 +191,8 @@
         if (rule->kind != kind || (rule->nth && rule->nth != call_number)) {
             continue;
         }
-        long now = since_load_ms();
-        if (now < rule->from_ms || now >= rule->to_ms
+        long now_ms = ms_since_load();
+        if (now_ms < rule->from_ms || now_ms >= rule->to_ms
                 || (rule->percent < 100 && random_percent() >= rule->percent)) {
             continue;
         }
@@ -206,8 +206,8 @@
 
 /* Like next_fault(), but for calls on files below FAULT_FOLDER; also appends a byte to the count file. */
 static int next_file_fault(enum call_kind kind) {
-    if (count_fd >= 0) {
-        REAL_FUNCTION(write)(count_fd, &(char) {'a' + (char) kind}, 1);
+    if (count_file_fd >= 0) {
+        REAL_FUNCTION(write)(count_file_fd, &(char) {'a' + (char) kind}, 1);
     }
     return next_fault(kind);
 }
@@ -246,22 +246,22 @@
 /* ---- Calls on sockets */
 
 /* Records whether this process has connected the socket; returns the socket's descriptor. */
-static int mark_outbound(int fd, char outbound) {
+static int set_outbound(int fd, char is_outbound) {
     if (fd >= 0 && fd < MAX_TRACKED_FDS) {
-        atomic_store(&outbound_sockets[fd], outbound);
+        atomic_store(&outbound_sockets[fd], is_outbound);
     }
     return fd;
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     int error = next_fault(ACCEPT);
-    return error > 0 ? fail_with(error) : mark_outbound(REAL_FUNCTION(accept)(fd, address, length), 0);
+    return error > 0 ? fail_with(error) : set_outbound(REAL_FUNCTION(accept)(fd, address, length), 0);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     int error = next_fault(ACCEPT);
     return error > 0 ? fail_with(error)
-            : mark_outbound(REAL_FUNCTION(accept4)(fd, address, length, flags), 0);
+            : set_outbound(REAL_FUNCTION(accept4)(fd, address, length, flags), 0);
 }
 
 int socket(int domain, int type, int protocol) {
@@ -272,7 +272,7 @@
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     int error = address->sa_family == AF_INET || address->sa_family == AF_INET6 ? next_fault(CONNECT)
             : NO_FAULT;
-    mark_outbound(fd, 1);
+    set_outbound(fd, 1);
     if (error == EINTR) {
         /* After an interrupted connect, the kernel continues to establish the connection. */
         int result = REAL_FUNCTION(connect)(fd, address, length);
@@ -339,13 +339,13 @@
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
-    size_t first = count > 0 ? parts[0].iov_len : 0;
-    ssize_t max_length = is_fault_file(fd) ? file_transfer_length(fd, first)
-            : socket_transfer_length(SEND, fd, first);
+    size_t first_length = count > 0 ? parts[0].iov_len : 0;
+    ssize_t max_length = is_fault_file(fd) ? file_transfer_length(fd, first_length)
+            : socket_transfer_length(SEND, fd, first_length);
     if (max_length < 0) {
         return max_length;
     }
-    if ((size_t) max_length == first) {
+    if ((size_t) max_length == first_length) {
         return REAL_FUNCTION(writev)(fd, parts, count);
     }
     return REAL_FUNCTION(write)(fd, parts[0].iov_base, (size_t) max_length);
@@ -385,8 +385,8 @@
     long offset_ms = 0;
     for (int i = 0; i < rule_count; i++) {
         if (rules[i].kind == CLOCK) {
-            long now = since_load_ms();
-            offset_ms += now >= rules[i].from_ms && now < rules[i].to_ms ? rules[i].clock_ms : 0;
+            long now_ms = ms_since_load();
+            offset_ms += now_ms >= rules[i].from_ms && now_ms < rules[i].to_ms ? rules[i].clock_offset_ms : 0;
         }
     }
     long ns = time->tv_nsec + offset_ms % 1000 * 1000000;
--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -50,7 +50,7 @@
     /** Maximum delay until a copy receives a change of the list. */
     private static final long MAX_LIST_DELAY_US = US_PER_S;
     /** How long before the burst the servers that restart cold are stopped. */
-    private static final long DOWNTIME_US = 5 * US_PER_S;
+    private static final long DOWNTIME_BEFORE_BURST_US = 5 * US_PER_S;
     /** One-way network delay. */
     private static final long NETWORK_DELAY_US = US_PER_MS / 2;
     /** Maximum number of requests queued at a server, not counting the one being processed. */
@@ -63,28 +63,28 @@
      *
      * @param trafficShares relative share of the traffic of each copy, by copy number
      * @param servers number of servers at the start
-     * @param joining number of new servers that join during the burst
-     * @param returning number of the initial servers that restart cold during the burst
+     * @param joiningServers number of new servers that join during the burst
+     * @param restartingServers number of the initial servers that restart cold during the burst
      * @param capacityPerSecond requests of mean work that a warm server processes per second
      * @param load traffic before the burst, as a share of the capacity of all servers
      * @param burstFactor factor by which the traffic is multiplied from the burst on
      * @param canProbe whether copies may probe servers
      */
-    record Scenario(double[] trafficShares, int servers, int joining, int returning, double capacityPerSecond,
-            double load, double burstFactor, boolean canProbe) {
+    record Scenario(double[] trafficShares, int servers, int joiningServers, int restartingServers,
+            double capacityPerSecond, double load, double burstFactor, boolean canProbe) {
 
         /** Describes the scenario in the names of tests. */
         @Override
         public String toString() {
             return trafficShares.length
                     + (trafficShares[0] == trafficShares[1] ? " copies" : " unequal copies") + ", "
-                    + joining + " servers join " + servers + ", " + returning + " return, "
+                    + joiningServers + " servers join " + servers + ", " + restartingServers + " return, "
                     + capacityPerSecond + " requests/s each, burst " + burstFactor
                     + (canProbe ? ", probes" : ", no probes");
         }
 
         /** Returns traffic shares where every sixth copy gets ten times the traffic of each other copy. */
-        static double[] unequalShares(int copies) {
+        static double[] unequalTrafficShares(int copies) {
             double[] trafficShares = new double[copies];
             for (int i = 0; i < copies; i++) {
                 trafficShares[i] = i % 6 == 0 ? 10 : 1;
@@ -93,7 +93,7 @@
         }
 
         /** Returns equal traffic shares for all copies. */
-        static double[] equalShares(int copies) {
+        static double[] equalTrafficShares(int copies) {
             double[] trafficShares = new double[copies];
             Arrays.fill(trafficShares, 1);
             return trafficShares;
@@ -169,12 +169,12 @@
             copy.logic.serversChanged(nowUs, ListKind.REMEMBERED, list);
             scheduleAt(copy.nextArrivalUs(), copy::arrive);
         }
-        for (int i = 0; i < scenario.returning(); i++) {
+        for (int i = 0; i < scenario.restartingServers(); i++) {
             Worker worker = workers.get("s" + i);
-            scheduleAt(BURST_START_US - DOWNTIME_US, () -> stop(worker));
+            scheduleAt(BURST_START_US - DOWNTIME_BEFORE_BURST_US, () -> stop(worker));
             scheduleAt(BURST_START_US + random.nextLong(US_PER_S), () -> start(worker));
         }
-        for (int i = 0; i < scenario.joining(); i++) {
+        for (int i = 0; i < scenario.joiningServers(); i++) {
             Worker worker = new Worker("new" + i);
             scheduleAt(BURST_START_US + random.nextLong(US_PER_S), () -> start(worker));
         }
--- a/src/test/java/larkworks/ColdServerFleetTest.java
+++ b/src/test/java/larkworks/ColdServerFleetTest.java
@@ -24,13 +24,14 @@
     /** Traffic before the burst, as a share of the capacity of all servers. */
     private static final double LOAD_BEFORE_BURST = 0.7;
     /** Minimum share of the work possible in the first half of its cold period that a cold server gets. */
-    private static final double MIN_USED_SHARE = 0.2;
+    private static final double MIN_SENT_SHARE = 0.2;
 
     static Stream<Arguments> scenarios() {
         List<Arguments> scenarios = new ArrayList<>();
         double[][] trafficSharesOfScenarios = {
-            Scenario.unequalShares(30), Scenario.unequalShares(20), Scenario.equalShares(30),
-            Scenario.equalShares(4), Scenario.equalShares(2), {4, 1}};
+            Scenario.unequalTrafficShares(30), Scenario.unequalTrafficShares(20),
+            Scenario.equalTrafficShares(30), Scenario.equalTrafficShares(4), Scenario.equalTrafficShares(2),
+            {4, 1}};
         for (double[] trafficShares : trafficSharesOfScenarios) {
             for (double capacityPerSecond : new double[] {5, 60}) {
                 for (double burstFactor : new double[] {1.5, 2.2}) {
@@ -45,16 +46,16 @@
         for (int copies : new int[] {60, 100, 200}) {
             for (double capacityPerSecond : new double[] {20, 60}) {
                 for (double burstFactor : new double[] {1.5, 2.2}) {
-                    scenarios.add(Arguments.of(new Scenario(Scenario.equalShares(copies), 12, 4, 2,
+                    scenarios.add(Arguments.of(new Scenario(Scenario.equalTrafficShares(copies), 12, 4, 2,
                             capacityPerSecond, LOAD_BEFORE_BURST, burstFactor, false)));
                 }
             }
         }
         // More cold servers than warm ones.
-        scenarios.add(Arguments.of(new Scenario(Scenario.unequalShares(30), 10, 8, 5, 20, LOAD_BEFORE_BURST,
-                1.5, true)));
-        scenarios.add(Arguments.of(new Scenario(Scenario.unequalShares(30), 10, 8, 5, 20, LOAD_BEFORE_BURST,
-                1.5, false)));
+        scenarios.add(Arguments.of(new Scenario(Scenario.unequalTrafficShares(30), 10, 8, 5, 20,
+                LOAD_BEFORE_BURST, 1.5, true)));
+        scenarios.add(Arguments.of(new Scenario(Scenario.unequalTrafficShares(30), 10, 8, 5, 20,
+                LOAD_BEFORE_BURST, 1.5, false)));
         return scenarios.stream();
     }
 
@@ -67,7 +68,7 @@
                 String description = "seed " + seed + ", " + load;
                 checks.add(() -> assertTrue(load.maxSentInWindow() < load.allowedInWindow(), description));
                 checks.add(() -> assertTrue(
-                        load.sentInFirstHalf() > MIN_USED_SHARE * load.possibleInFirstHalf(), description));
+                        load.sentInFirstHalf() > MIN_SENT_SHARE * load.possibleInFirstHalf(), description));
             }
         }
         assertAll(checks);
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -69,12 +69,12 @@
 
         @Test
         void picksUnusedServersInAnOrderThatDependsOnTheSeed() {
-            Set<List<String>> orders = new HashSet<>();
+            Set<List<String>> serverOrders = new HashSet<>();
             for (int seed = 0; seed < 20; seed++) {
                 SimulatedProxy proxy = new SimulatedProxy(testSettings(), seed).withServers("a", "b", "c");
-                orders.add(List.of(proxy.serveRequest(), proxy.serveRequest(), proxy.serveRequest()));
+                serverOrders.add(List.of(proxy.serveRequest(), proxy.serveRequest(), proxy.serveRequest()));
             }
-            assertTrue(orders.size() > 2, "orders seen: " + orders);
+            assertTrue(serverOrders.size() > 2, "orders seen: " + serverOrders);
         }
 
         @Test
@@ -915,11 +915,11 @@
             for (int i = 0; i < 60; i++) {
                 proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             }
-            int sendsAtOnce = proxy.countActions("send") - 10;
-            assertTrue(sendsAtOnce < 12, "sent at once: " + sendsAtOnce);
+            int immediateSends = proxy.countActions("send") - 10;
+            assertTrue(immediateSends < 12, "sent at once: " + immediateSends);
             proxy.advanceMs(1_000);
-            assertEquals(60, sendsAtOnce + proxy.countActions("fail") + proxy.countActions("refuse")
-                    + proxy.countActions("send") - 10 - sendsAtOnce);
+            assertEquals(60, immediateSends + proxy.countActions("fail") + proxy.countActions("refuse")
+                    + proxy.countActions("send") - 10 - immediateSends);
         }
 
         @Test
--- a/src/test/java/larkworks/RulesTest.java
+++ b/src/test/java/larkworks/RulesTest.java
@@ -54,7 +54,7 @@
     private static final class Attempt {
         String server;
         long sentAtUs;
-        long endsAtUs;
+        long timesOutAtUs;
         boolean isInFlight = true;
         boolean mayHaveRun = true;
     }
@@ -106,30 +106,31 @@
                     random.nextInt(copies), copies, random.nextInt(2), 2, watchesDiscovery,
                     random.nextDouble(), US_PER_MS);
             logic = new Logic(settings, seed, this);
-            List<Server> list = new ArrayList<>();
+            List<Server> initialServers = new ArrayList<>();
             for (int i = 0; i < serverCount; i++) {
-                list.add(new Server("s" + i, 0, i % 3, i % 4, 1 + random.nextInt(3), ServerStatus.UP));
+                initialServers.add(
+                        new Server("s" + i, 0, i % 3, i % 4, 1 + random.nextInt(3), ServerStatus.UP));
             }
-            list.forEach(s -> listedServers.put(s.id(), s));
-            logic.serversChanged(nowUs, ListKind.REMEMBERED, list);
+            initialServers.forEach(s -> listedServers.put(s.id(), s));
+            logic.serversChanged(nowUs, ListKind.REMEMBERED, initialServers);
         }
 
         void run(int eventCount) {
             scheduleAt(nowUs, this::arrive);
             scheduleAt(nowUs, this::changeList);
             for (int i = 0; i < eventCount && !schedule.isEmpty(); i++) {
-                step();
+                runNextEvent();
             }
             long endUs = nowUs + 10_000 * US_PER_MS;
             while (!schedule.isEmpty() && schedule.peek().atUs() < endUs) {
-                step();
+                runNextEvent();
             }
             requests.forEach((id, state) -> assertTrue(state.isAnswered || state.isStreaming
                     || state.deadlineUs >= nowUs - US_PER_MS,
                     () -> id + " was never answered"));
         }
 
-        private void step() {
+        private void runNextEvent() {
             ScheduledEvent next = schedule.poll();
             nowUs = Math.max(nowUs, next.atUs());
             next.event().run();
@@ -234,14 +235,14 @@
             Attempt attempt = new Attempt();
             attempt.server = server;
             attempt.sentAtUs = nowUs;
-            attempt.endsAtUs = Math.min(nowUs + timeoutUs, state.deadlineUs);
+            attempt.timesOutAtUs = Math.min(nowUs + timeoutUs, state.deadlineUs);
             state.attempts.add(attempt);
             int attemptNumber = state.attempts.size() - 1;
             Outcome[] possibleOutcomes = {Outcome.OK, Outcome.OK, Outcome.OK, Outcome.ERROR, Outcome.FULL,
                 Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET};
             Outcome outcome = possibleOutcomes[random.nextInt(possibleOutcomes.length)];
-            long endUs = outcome == Outcome.TIMEOUT ? attempt.endsAtUs
-                    : Math.min(attempt.endsAtUs, nowUs + random.nextLong(300 * US_PER_MS));
+            long endUs = outcome == Outcome.TIMEOUT ? attempt.timesOutAtUs
+                    : Math.min(attempt.timesOutAtUs, nowUs + random.nextLong(300 * US_PER_MS));
             if (outcome == Outcome.OK && random.nextInt(8) == 0) {
                 scheduleAt(Math.min(endUs, nowUs + US_PER_MS), () -> {
                     if (attempt.isInFlight && !state.isAnswered && !state.isStreaming
@@ -251,10 +252,10 @@
                     }
                 });
             }
-            scheduleAt(endUs, () -> end(state, attemptNumber, outcome));
+            scheduleAt(endUs, () -> endAttempt(state, attemptNumber, outcome));
         }
 
-        private void end(RequestState state, int attemptNumber, Outcome outcome) {
+        private void endAttempt(RequestState state, int attemptNumber, Outcome outcome) {
             Attempt attempt = state.attempts.get(attemptNumber);
             if (!attempt.isInFlight) {
                 return;
@@ -279,15 +280,15 @@
                     || state.requestClass.effect() == Effect.KEYED
                     && state.requestClass.group() == DedupGroup.ALL,
                     () -> id + " was refused though it may have run");
-            answer(state);
+            markAnswered(state);
         }
 
         @Override
         public void fail(String id) {
-            answer(requests.get(id));
+            markAnswered(requests.get(id));
         }
 
-        private void answer(RequestState state) {
+        private void markAnswered(RequestState state) {
             assertTrue(!state.isAnswered && !state.isStreaming,
                     () -> state.request.id() + " was answered twice");
             state.isAnswered = true;
@@ -297,7 +298,7 @@
         public void cancel(String id, int attempt) {
             assertTrue(settings.limits().canCancel(), "cancels are not allowed");
             RequestState state = requests.get(id);
-            scheduleAt(nowUs + US_PER_MS, () -> end(state, attempt, Outcome.CANCELLED));
+            scheduleAt(nowUs + US_PER_MS, () -> endAttempt(state, attempt, Outcome.CANCELLED));
         }
 
         @Override
--- a/src/test/java/larkworks/TcpRelay.java
+++ b/src/test/java/larkworks/TcpRelay.java
@@ -22,12 +22,12 @@
     /** The client and target sockets of all connections. */
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     /** Sockets that stay open but whose bytes are discarded. */
-    private final Set<Socket> blackholed = ConcurrentHashMap.newKeySet();
+    private final Set<Socket> blackholedSockets = ConcurrentHashMap.newKeySet();
     /** Sockets of the connections that clients have opened to the relay. */
     private final Set<Socket> clientSockets = ConcurrentHashMap.newKeySet();
     private volatile Predicate<Socket> isPartitioned = clientSocket -> false;
     private volatile InetSocketAddress target;
-    private volatile boolean refusing;
+    private volatile boolean isRefusingConnections;
     /** Number of connections closed at once because the relay was refusing connections. */
     public final AtomicInteger refusedConnections = new AtomicInteger();
 
@@ -48,7 +48,7 @@
 
     /** If true, closes all connections and refuses new ones; if false, accepts new connections again. */
     public void setRefusing(boolean refuse) throws IOException {
-        refusing = refuse;
+        isRefusingConnections = refuse;
         if (refuse) {
             for (Socket socket : sockets) {
                 socket.close();
@@ -58,7 +58,7 @@
 
     /** Keeps all open connections but discards their bytes; forwards new connections as usual. */
     public void blackholeOpenConnections() {
-        blackholed.addAll(sockets);
+        blackholedSockets.addAll(sockets);
     }
 
     /**
@@ -72,8 +72,8 @@
         isPartitioned = selected;
         for (Socket clientSocket : clientSockets) {
             if (selected.test(clientSocket)) {
-                blackholed.add(clientSocket);
-            } else if (blackholed.contains(clientSocket)) {
+                blackholedSockets.add(clientSocket);
+            } else if (blackholedSockets.contains(clientSocket)) {
                 clientSocket.close();
             }
         }
@@ -98,7 +98,7 @@
     private void acceptConnections() throws IOException {
         while (true) {
             Socket clientSocket = listener.accept();
-            if (refusing) {
+            if (isRefusingConnections) {
                 refusedConnections.incrementAndGet();
                 clientSocket.close();
                 continue;
@@ -108,7 +108,7 @@
             sockets.add(targetSocket);
             clientSockets.add(clientSocket);
             if (isPartitioned.test(clientSocket)) {
-                blackholed.add(clientSocket);
+                blackholedSockets.add(clientSocket);
             }
             startThread(() -> {
                 try (clientSocket; targetSocket) {
@@ -119,7 +119,7 @@
                     sockets.remove(clientSocket);
                     sockets.remove(targetSocket);
                     clientSockets.remove(clientSocket);
-                    blackholed.remove(clientSocket);
+                    blackholedSockets.remove(clientSocket);
                 }
             });
         }
@@ -130,12 +130,12 @@
         InputStream in = from.getInputStream();
         OutputStream out = to.getOutputStream();
         for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-            if (!blackholed.contains(from) && !blackholed.contains(clientSocket)) {
+            if (!blackholedSockets.contains(from) && !blackholedSockets.contains(clientSocket)) {
                 out.write(buffer, 0, count);
                 out.flush();
             }
         }
-        if (!blackholed.contains(from) && !blackholed.contains(clientSocket)) {
+        if (!blackholedSockets.contains(from) && !blackholedSockets.contains(clientSocket)) {
             to.close();
         }
     }
