--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -14,7 +14,7 @@
     private static final int WARM_UP_REQUESTS = 50;
     /**
      * Upper bound on the servers examined for a call. A call with probes examines the servers found idle, the
-     * candidates for the next probe and the candidates for the call; each of these searches ends early.
+     * candidates for the next probe and the candidates for the call; each of these three searches is bounded.
      */
     private static final int MAX_SERVERS_EXAMINED_PER_CALL = 12;
 
--- a/src/test/java/larkworks/ColdServerFleetTest.java
+++ b/src/test/java/larkworks/ColdServerFleetTest.java
@@ -51,7 +51,7 @@
                 }
             }
         }
-        // More cold servers than warm ones.
+        // In these two scenarios there are more cold servers than warm ones.
         scenarios.add(Arguments.of(new Scenario(Scenario.unequalTrafficShares(30), 10, 8, 5, 20,
                 LOAD_BEFORE_BURST, 1.5, true)));
         scenarios.add(Arguments.of(new Scenario(Scenario.unequalTrafficShares(30), 10, 8, 5, 20,
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -718,8 +718,8 @@
 
         @Test
         void probesOneServerAtATimeUnderLightLoad() {
-            // Under light load the first probed server is nearly always idle, so a second probe is
-            // wasted cost.
+            // Under light load the first probed server is nearly always idle, so a second
+            // probe would cost more than it gains.
             SimulatedProxy proxy = new SimulatedProxy(probingSettings()).withServers("a", "b", "c", "d");
             String request = proxy.sendRequest(SimulatedProxy.SAFE_CLASS);
             assertEquals(1, proxy.countActions("probe"));
@@ -774,7 +774,7 @@
                     "the call must wait for the answer to its probe");
         }
 
-        /** Answers the probes recorded from an index on, except those to unreachable servers. */
+        /** Answers the probes among the actions from an index on, but none to unreachable servers. */
         private void answerProbes(SimulatedProxy proxy, int fromActionIndex, int inFlight,
                 String unreachableServers) {
             for (int i = fromActionIndex; i < proxy.recordedActions.size(); i++) {
--- a/src/test/java/larkworks/RulesTest.java
+++ b/src/test/java/larkworks/RulesTest.java
@@ -76,6 +76,7 @@
                 ? Long.compare(a.atUs(), b.atUs()) : Long.compare(a.sequence(), b.sequence()));
         final Map<String, RequestState> requests = new HashMap<>();
         final Map<String, Server> listedServers = new HashMap<>();
+        /** Time at which each server that is not up was drained or removed from the list. */
         final Map<String, Long> closedAtUsByServer = new HashMap<>();
         final Settings settings;
         final Logic logic;
--- a/src/test/java/larkworks/SimulatedProxy.java
+++ b/src/test/java/larkworks/SimulatedProxy.java
@@ -41,7 +41,7 @@
         double coldStartShare = 0.25;
         double overloadMultiple = 2;
         long aimUs = 400 * US_PER_MS;
-        /** Classes added after the four of {@link #settings}. */
+        /** Additional classes; {@link #settings} appends them to its four classes. */
         List<RequestClass> extraClasses = List.of();
         /** Quota of tenant 1 in requests per second over all copies; tenant 0 has no quota. */
         double tenantQuotaPerSecond;
--- a/src/test/java/larkworks/SyscallFaults.java
+++ b/src/test/java/larkworks/SyscallFaults.java
@@ -37,7 +37,7 @@
      * these rules.
      *
      * @param folder rules for files apply only to files below this folder
-     * @param countFile file to which a byte is written for each call on a file below the folder
+     * @param countFile file to which a byte is appended for each counted call on a file below the folder
      */
     public static Map<String, String> environment(String rules, long seed, Path folder, Path countFile) {
         Map<String, String> environment = environment(rules, seed);
