--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -36,7 +36,7 @@
     @CsvSource({"30,5,false", "3200,5,false", "3200,5,true", "3200,640,false", "3200,640,true"})
     void choosingAServerExaminesABoundedNumberOfServers(int servers, int copies, boolean canProbe) {
         SimulatedProxy.TestSettings settings = new SimulatedProxy.TestSettings();
-        settings.copies = copies;
+        settings.copyCount = copies;
         settings.canProbe = canProbe;
         SimulatedProxy proxy = new SimulatedProxy(settings).withServers(IntStream.range(0, servers)
                 .mapToObj(i -> "s" + i).toArray(String[]::new));
--- a/src/test/java/larkworks/LogicTest.java
+++ b/src/test/java/larkworks/LogicTest.java
@@ -163,8 +163,8 @@
             Map<String, Integer> copiesByServer = new HashMap<>();
             for (int copy = 0; copy < copies; copy++) {
                 SimulatedProxy.TestSettings settings = testSettings();
-                settings.copy = copy;
-                settings.copies = copies;
+                settings.copyNumber = copy;
+                settings.copyCount = copies;
                 SimulatedProxy proxy = new SimulatedProxy(settings, copy);
                 proxy.logic.serversChanged(proxy.nowUs, ListKind.REMEMBERED, fleet);
                 Set<String> usedServers = new HashSet<>();
--- a/src/test/java/larkworks/SimulatedProxy.java
+++ b/src/test/java/larkworks/SimulatedProxy.java
@@ -32,8 +32,8 @@
     static final class TestSettings {
         boolean canProbe;
         double crossZonePrice;
-        int copy;
-        int copies = 3;
+        int copyNumber;
+        int copyCount = 3;
         boolean canHedge;
         boolean watchesDiscovery;
         int maxAttempts = 4;
@@ -55,7 +55,8 @@
                     new Limits(maxAttempts, true, canProbe, canHedge, maxRetryAfterUs),
                     new Rules(500 * US_PER_MS, watchesDiscovery ? 8_000 * US_PER_MS : 0, coldStartShare,
                     8_000 * US_PER_MS, overloadMultiple),
-                    0.001, crossZonePrice, 0, copy, copies, 0, 1, watchesDiscovery, 0.2, 1 * US_PER_MS);
+                    0.001, crossZonePrice, 0, copyNumber, copyCount, 0, 1, watchesDiscovery, 0.2,
+                    1 * US_PER_MS);
         }
 
         private RequestClass requestClass(Effect effect, DedupGroup group) {
