--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -66,12 +66,12 @@
      * @param joiningServers number of new servers that join during the burst
      * @param restartingServers number of the initial servers that restart cold during the burst
      * @param capacityPerSecond requests of mean work that a warm server processes per second
-     * @param load traffic before the burst, as a share of the capacity of all servers
+     * @param loadBeforeBurst traffic before the burst, as a share of the capacity of all servers
      * @param burstFactor factor by which the traffic is multiplied from the burst on
      * @param canProbe whether copies may probe servers
      */
     record Scenario(double[] trafficShares, int servers, int joiningServers, int restartingServers,
-            double capacityPerSecond, double load, double burstFactor, boolean canProbe) {
+            double capacityPerSecond, double loadBeforeBurst, double burstFactor, boolean canProbe) {
 
         /** Describes the scenario in the names of tests. */
         @Override
@@ -374,8 +374,8 @@
 
         long nextArrivalUs() {
             double requestsPerSecond =
-                    trafficShare * scenario.load() * scenario.servers() * scenario.capacityPerSecond()
-                    * (nowUs >= BURST_START_US ? scenario.burstFactor() : 1);
+                    trafficShare * scenario.loadBeforeBurst() * scenario.servers()
+                    * scenario.capacityPerSecond() * (nowUs >= BURST_START_US ? scenario.burstFactor() : 1);
             return nowUs + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * US_PER_S);
         }
 
