--- a/src/test/java/larkworks/ChoiceCostTest.java
+++ b/src/test/java/larkworks/ChoiceCostTest.java
@@ -14,7 +14,7 @@
     private static final int WARM_UP_REQUESTS = 50;
     /**
      * Upper bound on the servers examined for a call. A call with probes examines the servers found idle, the
-     * candidates for the next probe and the candidates for the call; each of these searches ends early.
+     * candidates for the next probe and the candidates for the call; each of these three searches is bounded.
      */
     private static final int MAX_SERVERS_EXAMINED_PER_CALL = 12;
 
@@ -36,7 +36,7 @@
     @CsvSource({"30,5,false", "3200,5,false", "3200,5,true", "3200,640,false", "3200,640,true"})
     void choosingAServerExaminesABoundedNumberOfServers(int servers, int copies, boolean canProbe) {
         SimulatedProxy.TestSettings settings = new SimulatedProxy.TestSettings();
-        settings.copies = copies;
+        settings.copyCount = copies;
         settings.canProbe = canProbe;
         SimulatedProxy proxy = new SimulatedProxy(settings).withServers(IntStream.range(0, servers)
                 .mapToObj(i -> "s" + i).toArray(String[]::new));
--- a/src/test/java/larkworks/ColdServerFleet.java
+++ b/src/test/java/larkworks/ColdServerFleet.java
@@ -38,7 +38,7 @@
     private static final long COLD_PERIOD_US = 20 * US_PER_S;
     /** Share of its capacity that a server has at its start. */
     private static final double COLD_START_SHARE = 0.15;
-    /** The budget of a cold server is this multiple of the work that it can do. */
+    /** Budget of a cold server in a window, as a multiple of the work that it can do in the window. */
     private static final double BUDGET_MULTIPLE = 3;
     /** Length of the sliding window over which the work sent to a cold server is summed. */
     private static final long WINDOW_US = 1_500 * US_PER_MS;
@@ -49,13 +49,13 @@
     private static final long DEADLINE_US = 1_500 * US_PER_MS;
     /** Maximum delay until a copy receives a change of the list. */
     private static final long MAX_LIST_DELAY_US = US_PER_S;
-    /** Time before the burst at which the servers that return cold are stopped. */
-    private static final long DOWNTIME_US = 5 * US_PER_S;
+    /** How long before the burst the servers that restart cold are stopped. */
+    private static final long DOWNTIME_BEFORE_BURST_US = 5 * US_PER_S;
     /** One-way network delay. */
     private static final long NETWORK_DELAY_US = US_PER_MS / 2;
     /** Maximum number of requests queued at a server, not counting the one being processed. */
     private static final int MAX_QUEUED_REQUESTS = 8;
-    /** Low enough that copies probe servers before a call, where probes are allowed. */
+    /** Price of a probe: low enough that copies probe servers before a call if the scenario allows probes. */
     private static final double PROBE_PRICE = 0.002;
 
     /**
@@ -63,28 +63,28 @@
      *
      * @param trafficShares relative share of the traffic of each copy, by copy number
      * @param servers number of servers at the start
-     * @param joining number of new servers that join during the burst
-     * @param returning number of the initial servers that restart cold during the burst
+     * @param joiningServers number of new servers that join during the burst
+     * @param restartingServers number of the initial servers that restart cold during the burst
      * @param capacityPerSecond requests of mean work that a warm server processes per second
-     * @param load traffic before the burst, as a share of the capacity of all servers
+     * @param loadBeforeBurst traffic before the burst, as a share of the capacity of all servers
      * @param burstFactor factor by which the traffic is multiplied from the burst on
      * @param canProbe whether copies may probe servers
      */
-    record Scenario(double[] trafficShares, int servers, int joining, int returning, double capacityPerSecond,
-            double load, double burstFactor, boolean canProbe) {
+    record Scenario(double[] trafficShares, int servers, int joiningServers, int restartingServers,
+            double capacityPerSecond, double loadBeforeBurst, double burstFactor, boolean canProbe) {
 
         /** Describes the scenario in the names of tests. */
         @Override
         public String toString() {
             return trafficShares.length
                     + (trafficShares[0] == trafficShares[1] ? " copies" : " unequal copies") + ", "
-                    + joining + " servers join " + servers + ", " + returning + " return, "
+                    + joiningServers + " servers join " + servers + ", " + restartingServers + " return, "
                     + capacityPerSecond + " requests/s each, burst " + burstFactor
                     + (canProbe ? ", probes" : ", no probes");
         }
 
         /** Returns traffic shares where every sixth copy gets ten times the traffic of each other copy. */
-        static double[] unequalShares(int copies) {
+        static double[] unequalTrafficShares(int copies) {
             double[] trafficShares = new double[copies];
             for (int i = 0; i < copies; i++) {
                 trafficShares[i] = i % 6 == 0 ? 10 : 1;
@@ -93,7 +93,7 @@
         }
 
         /** Returns equal traffic shares for all copies. */
-        static double[] equalShares(int copies) {
+        static double[] equalTrafficShares(int copies) {
             double[] trafficShares = new double[copies];
             Arrays.fill(trafficShares, 1);
             return trafficShares;
@@ -169,12 +169,12 @@
             copy.logic.serversChanged(nowUs, ListKind.REMEMBERED, list);
             scheduleAt(copy.nextArrivalUs(), copy::arrive);
         }
-        for (int i = 0; i < scenario.returning(); i++) {
+        for (int i = 0; i < scenario.restartingServers(); i++) {
             Worker worker = workers.get("s" + i);
-            scheduleAt(BURST_START_US - DOWNTIME_US, () -> stop(worker));
+            scheduleAt(BURST_START_US - DOWNTIME_BEFORE_BURST_US, () -> stop(worker));
             scheduleAt(BURST_START_US + random.nextLong(US_PER_S), () -> start(worker));
         }
-        for (int i = 0; i < scenario.joining(); i++) {
+        for (int i = 0; i < scenario.joiningServers(); i++) {
             Worker worker = new Worker("new" + i);
             scheduleAt(BURST_START_US + random.nextLong(US_PER_S), () -> start(worker));
         }
@@ -202,7 +202,7 @@
         publishChange(worker.listEntry(ServerStatus.UP));
     }
 
-    /** Delivers a change of the list to each copy after a random delay of its own. */
+    /** Delivers a change of the list to every copy, to each one after a different random delay. */
     private void publishChange(Server change) {
         for (Copy copy : copies) {
             scheduleAt(nowUs + random.nextLong(MAX_LIST_DELAY_US), () -> {
@@ -214,14 +214,14 @@
         }
     }
 
-    /** Returns the share of its full capacity that a server has at a time; 0 as start means a warm server. */
+    /** Returns a server's present capacity as a share of its full one; start time 0 means a warm server. */
     private static double capacityShare(long startedAtUs, long nowUs) {
         return startedAtUs == 0 ? 1
                 : Math.min(1, COLD_START_SHARE
                 + (1 - COLD_START_SHARE) * (nowUs - startedAtUs) / COLD_PERIOD_US);
     }
 
-    /** Returns the budget plus two standard deviations of a Poisson variable with that mean, plus 2. */
+    /** Returns the budget plus 2 plus two standard deviations of a Poisson variable with this mean. */
     private static double allowedForBudget(double budget) {
         return budget + 2 * Math.sqrt(budget) + 2;
     }
@@ -280,7 +280,7 @@
             dropped.forEach(attempt -> attempt.end(Outcome.RESET));
         }
 
-        /** Checks every window that ends at an attempt against the work allowed at the window's start. */
+        /** Returns the load of this server; examines each window that ends when an attempt is sent. */
         ColdServerLoad coldServerLoad() {
             double sentInWindow = 0;
             double maxSentInWindow = 0;
@@ -358,7 +358,7 @@
         final Map<String, Double> workByRequest = new HashMap<>();
         final Map<String, List<Attempt>> attemptsByRequest = new HashMap<>();
         final Set<String> endedRequests = new HashSet<>();
-        /** Servers whose start this copy has received in the list. */
+        /** Ids of the servers whose start time this copy has received in the list. */
         final Set<String> serversWithKnownStart = new HashSet<>();
 
         Copy(int copyNumber, double trafficShare) {
@@ -374,14 +374,14 @@
 
         long nextArrivalUs() {
             double requestsPerSecond =
-                    trafficShare * scenario.load() * scenario.servers() * scenario.capacityPerSecond()
-                    * (nowUs >= BURST_START_US ? scenario.burstFactor() : 1);
+                    trafficShare * scenario.loadBeforeBurst() * scenario.servers()
+                    * scenario.capacityPerSecond() * (nowUs >= BURST_START_US ? scenario.burstFactor() : 1);
             return nowUs + (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * US_PER_S);
         }
 
         void arrive() {
             String id = "r" + requestCount++;
-            // Half constant and half exponentially distributed, which spreads like real work.
+            // Half of the work is constant, half exponentially distributed, to vary like real work.
             workByRequest.put(id, 0.5 - 0.5 * Math.log(1 - random.nextDouble()));
             scheduleAt(nextArrivalUs(), this::arrive);
             logic.request(nowUs, new Request(id, 0, 0, DEADLINE_US, 0, false));
